--- a/bench/route_match.cpp
+++ b/bench/route_match.cpp
@@ -9,7 +9,7 @@
 #include <random>
 
 #include "core/route/route_table.hpp"
-#include "core/route/traffic.hpp"
+#include "core/route/traffic_policy.hpp"
 
 namespace {
 std::atomic<std::size_t> allocations{0};
@@ -82,9 +82,9 @@
 }
 BENCHMARK(MapOfPrefixes);
 
-struct AllLive : Traffic::PoolState {
+struct AllLive : TrafficPolicy::PoolState {
   bool has_live(const std::string&) const override { return true; }
-  bool shares_repeats(const std::string&) const override { return true; }
+  bool shares_deduplication(const std::string&) const override { return true; }
 };
 
 void AdmitAndEnd(benchmark::State& state) {
@@ -97,12 +97,12 @@
   m.pools["p"].budget = "b";
   m.routes["r"].pool = "p";
   m.routes["r"].type = "price-lookup";
-  Traffic traffic(m, nullptr);
+  TrafficPolicy traffic(m, nullptr);
   AllLive pools;
   Micros now = 0;
   for (auto _ : state) {
     auto d = traffic.admit(++now, {"main", "selam", "price-lookup", "barcode:1"}, false, pools);
-    traffic.on_first(now, d.ticket);
+    traffic.on_first_attempt(now, d.ticket);
     traffic.end(now, d.ticket, false);
   }
 }
--- a/bench/timers.cpp
+++ b/bench/timers.cpp
@@ -115,8 +115,8 @@
   Handle set(Micros at, std::uint64_t token) { return timers_.set(at, {.token = token}); }
   void cancel(Handle& handle) { timers_.cancel(handle); }
   bool take(Micros now) {
-    Timers::Due due;
-    return timers_.take(now, due);
+    Timers::Task due;
+    return timers_.pop_due(now, due);
   }
   std::size_t size() const { return timers_.size(); }
 
--- a/examples/embed.cpp
+++ b/examples/embed.cpp
@@ -7,7 +7,7 @@
   Settings settings;
   ClassSettings page;
   page.name = "page";
-  page.aim = 150'000;
+  page.latency_objective = 150'000;
   page.deadline = 600'000;
   settings.classes.push_back(page);
 
--- a/include/violetusher/balancer.hpp
+++ b/include/violetusher/balancer.hpp
@@ -39,14 +39,14 @@
 
 struct ClassSettings {
   std::string name;
-  Micros aim = 0;         ///< an answer within this time earns full worth
-  Micros deadline = 0;    ///< the client's whole patience, all its tries together
-  double worth = 1;       ///< per request, or per unit of work (Settings::worth_by_work)
-  double late_worth = 0;  ///< part of the worth for an answer after the aim, 0 to 1
+  Micros latency_objective = 0;  ///< an answer within this time earns full worth
+  Micros deadline = 0;           ///< the client's whole patience, all its tries together
+  double worth = 1;              ///< per request, or per unit of work (Settings::worth_by_work)
+  double late_worth = 0;         ///< part of the worth for an answer after the aim, 0 to 1
   Effect effect = Effect::Repeatable;
   Group group = Group::All;  ///< for Keyed
   Micros key_ttl = 0;        ///< for Keyed: from the send of the first attempt that may have run
-  bool streamed = false;     ///< answers start with an on_first
+  bool streamed = false;     ///< answers start with an on_response_start
 };
 
 struct TenantSettings {
@@ -78,33 +78,34 @@
   std::string zone;                ///< the router's own zone; may be empty
   std::vector<std::string> zones;  ///< all zones
   std::string origin_kind;         ///< aside mode: servers of this kind are the origin
-  bool aside = false;              ///< misses come back to the router, which asks the origin
+  bool cache_aside = false;        ///< misses come back to the router, which asks the origin
   int routers = 1;                 ///< routers in the tier, this one included
-  bool must_ask = false;           ///< the list comes only on Watch or Fetch
+  bool list_on_demand = false;     ///< the list comes only on Watch or Fetch
   bool may_cancel = false;
   bool may_probe = false;
-  bool second_copies = false;  ///< a request may have two attempts out together
-  bool retry_after = false;    ///< clients are told Refuse::wait
+  bool may_hedge = false;    ///< a request may have two attempts out together
+  bool retry_after = false;  ///< clients are told Refuse::wait
   bool worth_by_work = false;
   bool weights_listed = false;  ///< Server::weight carries a size
   int max_attempts = 1;
   Micros max_retry_after = 0;
-  Micros tick = 1000;  ///< the shortest time between two calls' actions taking effect
+  Micros timer_granularity = 1000;  ///< the shortest time between two calls' actions taking effect
   double cross_zone_charge = 0;
   double waste_charge = 0;
   double late_fail_charge = 0;
   double over_share_worth = 1;
   // The figures of the rules.
   Micros answer_slack = 0;
-  Micros ask_within = 10'000'000;
+  Micros list_refresh_interval = 10'000'000;
   Micros drain_grace = 0;
-  double cold_share = 0.3;       ///< a cold server starts at no less than this part of its capacity
-  Micros cold_time = 0;          ///< and is warm no later than this
+  double slow_start_min_fraction =
+      0.3;                       ///< a cold server starts at no less than this part of its capacity
+  Micros slow_start_window = 0;  ///< and is warm no later than this
   double overload_factor = 3;    ///< sent more than this multiple of its capacity
-  Micros tip_after = 1'500'000;  ///< for this long, a cold server falls over
+  Micros overload_window = 1'500'000;  ///< for this long, a cold server falls over
 };
 
-enum class Health { Ready, Draining, Gone };
+enum class Health { Ready, Draining, Removed };
 
 struct Server {
   std::string id;
@@ -136,22 +137,22 @@
 
 enum class Status {
   Ok,
-  Error,          ///< may have run
-  Full,           ///< turned away unseen
-  Timeout,        ///< may have run or be running
-  ConnectFailed,  ///< never ran
-  Reset,          ///< may have run
-  Stale,          ///< a kept connection broke with nothing of the answer: may have run
-  Cancelled,      ///< may have run
-  Moot,           ///< never sent
-  Miss,           ///< aside mode: nothing held there for the key
+  Error,            ///< may have run
+  Overloaded,       ///< turned away unseen
+  Timeout,          ///< may have run or be running
+  ConnectFailed,    ///< never ran
+  Reset,            ///< may have run
+  StaleConnection,  ///< a kept connection broke with nothing of the answer: may have run
+  Cancelled,        ///< may have run
+  NotSent,          ///< never sent
+  Miss,             ///< aside mode: nothing held there for the key
 };
 
 /// The values of one load report, in the order of Settings::report_fields, in place: one comes with
-/// nearly every answer. Values beyond kMost are not kept.
+/// nearly every answer. Values beyond kMaxValues are not kept.
 class Report {
  public:
-  static constexpr std::size_t kMost = 16;
+  static constexpr std::size_t kMaxValues = 16;
   Report() = default;
   Report(std::initializer_list<double> values) { assign(values.begin(), values.size()); }
   Report(const std::vector<double>& values) { assign(values.data(), values.size()); }
@@ -161,19 +162,19 @@
   double operator[](std::size_t k) const { return values_[k]; }
   double& operator[](std::size_t k) { return values_[k]; }
   void clear() { size_ = 0; }
-  /// `count` times `value`, kMost times at most.
+  /// `count` times `value`, kMaxValues times at most.
   void fill(std::size_t count, double value) {
-    size_ = std::min(count, kMost);
+    size_ = std::min(count, kMaxValues);
     std::fill_n(values_.begin(), size_, value);
   }
 
  private:
   void assign(const double* from, std::size_t count) {
-    size_ = std::min(count, kMost);
+    size_ = std::min(count, kMaxValues);
     std::copy_n(from, size_, values_.begin());
   }
 
-  std::array<double, kMost> values_{};
+  std::array<double, kMaxValues> values_{};
   std::size_t size_ = 0;
 };
 
@@ -184,8 +185,8 @@
   Status status = Status::Ok;
   Micros latency = 0;
   int attempt = 0;
-  int note = 0;   ///< 1 hit, 2 miss, 3 miss with a fetch already out, 0 not told
-  Report report;  ///< as in Settings::report_fields; may be empty or shorter
+  int cache_result = 0;  ///< 1 hit, 2 miss, 3 miss with a fetch already out, 0 not told
+  Report report;         ///< as in Settings::report_fields; may be empty or shorter
 };
 
 // ---- actions ----
@@ -193,12 +194,12 @@
   static constexpr Micros kAnyTime = std::numeric_limits<Micros>::max();
   RequestId id;
   std::string server;
-  Micros patience;          ///< 0 = until the client quits
-  Micros until = kAnyTime;  ///< not to be sent at this time or later, however it has waited
+  Micros attempt_timeout;         ///< 0 = until the client quits
+  Micros send_before = kAnyTime;  ///< not to be sent at this time or later, however it has waited
 };
 struct Refuse {
   RequestId id;
-  Micros wait;
+  Micros retry_after;
 };  ///< final: trying again is harmless
 struct Fail {
   RequestId id;
@@ -235,17 +236,17 @@
 
   /// Takes over new settings; what was learnt is kept. Requests that are open keep the rules of the
   /// class that they came with. Throws std::invalid_argument, and then nothing has changed.
-  void retune(const Settings& settings);
+  void update_settings(const Settings& settings);
 
   /// Actions owed at the start (asking for the list, the first timer). Call once.
   const Actions& start(Micros now);
   const Actions& on_list(Micros now, ListScope scope, const std::vector<Server>& entries);
   const Actions& on_request(Micros now, const Request& request);
-  const Actions& on_first(Micros now, RequestId id, const std::string& server, int attempt,
-                          Micros latency);
+  const Actions& on_response_start(Micros now, RequestId id, const std::string& server, int attempt,
+                                   Micros latency);
   const Actions& on_outcome(Micros now, const Outcome& outcome);
   /// The client left; nothing more is owed.
-  const Actions& on_gone(Micros now, RequestId id);
+  const Actions& on_client_disconnect(Micros now, RequestId id);
   const Actions& on_timer(Micros now, std::uint64_t token);
   const Actions& on_probe(Micros now, const std::string& server, Status status, Micros latency,
                           const Report& report);
@@ -260,7 +261,7 @@
   };
   Stats stats() const;
   /// Where an idle fleet would serve the key's first request now: the server id, or empty.
-  std::string home(const std::string& key) const;
+  std::string preferred_server(const std::string& key) const;
   /// The part of its slots a listed server is live over now, 0 to 1.
   double live_fraction(const std::string& server) const;
 
--- a/include/violetusher/recycled.hpp
+++ b/include/violetusher/recycled_map.hpp
@@ -13,7 +13,7 @@
 /// A table by number whose entries leave their memory to the next ones. kSpare of those that are
 /// over are kept for that, at most.
 template <typename T>
-class Recycled : public std::unordered_map<std::uint64_t, T> {
+class RecycledMap : public std::unordered_map<std::uint64_t, T> {
   using Table = std::unordered_map<std::uint64_t, T>;
 
  public:
--- a/src/core/audit/account.cpp
+++ b/src/core/audit/activity_recorder.cpp
@@ -1,4 +1,4 @@
-#include "account.hpp"
+#include "activity_recorder.hpp"
 
 #include <algorithm>
 #include <nlohmann/json.hpp>
@@ -15,10 +15,10 @@
 
 }  // namespace
 
-Account::Account(std::function<Versions()> versions, Out out)
+ActivityRecorder::ActivityRecorder(std::function<Versions()> versions, Out out)
     : versions_(std::move(versions)), out_(std::move(out)) {}
 
-void Account::serves(const std::string& server, bool yes) {
+void ActivityRecorder::set_serving(const std::string& server, bool yes) {
   if (yes ? !serving_.insert(server).second : serving_.erase(server) == 0) return;
   // There and back between two views is no change.
   auto& now = yes ? in_ : left_;
@@ -26,7 +26,7 @@
   if (before.erase(server) == 0) now.insert(server);
 }
 
-void Account::changed(Micros now) {
+void ActivityRecorder::changed(Micros now) {
   Versions versions = versions_();
   if (!all_ && versions == held_ && in_.empty() && left_.empty()) return;
   end_period(now);
@@ -44,7 +44,7 @@
   out_(text(body));
 }
 
-void Account::tick(Micros now) {
+void ActivityRecorder::tick(Micros now) {
   if (all_) {
     changed(now);
   } else if (done_) {
@@ -52,7 +52,7 @@
   }
 }
 
-void Account::end_period(Micros now) {
+void ActivityRecorder::end_period(Micros now) {
   if (done_) {
     Json sent = Json::object(), refused = Json::object();
     for (const auto& [server, counts] : sent_)
@@ -72,20 +72,20 @@
   from_ = now;
 }
 
-std::uint32_t Account::type_of(std::string_view name) {
+std::uint32_t ActivityRecorder::type_of(std::string_view name) {
   auto at = std::find(types_.begin(), types_.end(), name);
   if (at == types_.end() && types_.size() < kMostTypes) at = types_.emplace(at, name);
   return static_cast<std::uint32_t>(std::min<std::ptrdiff_t>(at - types_.begin(), kMostTypes - 1));
 }
 
-void Account::sent(const std::string& server, std::uint32_t type) {
+void ActivityRecorder::sent(const std::string& server, std::uint32_t type) {
   auto& counts = sent_[server];
   if (counts.size() <= type) counts.resize(type + 1);
   ++counts[type];
   done_ = true;
 }
 
-void Account::refused(std::string_view type) {
+void ActivityRecorder::refused(std::string_view type) {
   std::uint32_t number = type_of(type);
   if (refused_.size() <= number) refused_.resize(number + 1);
   ++refused_[number];
--- a/src/core/audit/account.hpp
+++ b/src/core/audit/activity_recorder.hpp
@@ -16,7 +16,7 @@
 
 using Micros = std::int64_t;
 
-class Account {
+class ActivityRecorder {
  public:
   /// Of what there are versions, and which: "list" -> "4812", "settings" -> a digest.
   using Versions = std::map<std::string, std::string>;
@@ -25,17 +25,17 @@
   static constexpr std::size_t kMostTypes = 256;
 
   /// `versions` is asked at each change, `out` gets the bodies.
-  Account(std::function<Versions()> versions, Out out);
+  ActivityRecorder(std::function<Versions()> versions, Out out);
 
   /// Whether the server gets anything new from here on. Takes effect with changed().
-  void serves(const std::string& server, bool yes);
+  void set_serving(const std::string& server, bool yes);
   /// Something that the router acts on may have changed: where it has, the period ends and another
   /// view begins. To be called before anything is done under it.
   void changed(Micros now);
   /// Ends a period in which something was done.
   void tick(Micros now);
   /// The reader may have missed what was written: the next view says all there is.
-  void say_all() { all_ = true; }
+  void write_full_view() { all_ = true; }
 
   /// A class's number, for sent(); the same for as long as the process runs.
   std::uint32_t type_of(std::string_view name);
--- a/src/core/audit/history.cpp
+++ b/src/core/audit/history.cpp
@@ -64,7 +64,7 @@
   void view(const Json& b) {
     Micros at = b.at("at");
     std::uint64_t number = b.at("view");
-    auto versions = b.at("versions").get<Account::Versions>();
+    auto versions = b.at("versions").get<ActivityRecorder::Versions>();
     bool all = b.value("all", false);
     if (!all && judged_ && number != view_ + 1) lose("views are missing");
     auto [seen, fresh] = seen_.emplace(number, versions);
@@ -79,18 +79,18 @@
     for (const std::string& id : b.value("out", std::vector<std::string>())) serving_.erase(id);
     view_ = number;
     last_ = std::max(last_, at);
-    span_ = Span{router_, number, at, at, true, view_began_, std::move(versions), {}, {}};
+    span_ = Period{router_, number, at, at, true, view_began_, std::move(versions), {}, {}};
     view_began_ = false;
   }
 
   void did(const Json& b) {
     std::uint64_t number = b.at("view");
     Micros from = b.at("from"), to = b.at("to");
-    auto sent = b.at("sent").get<decltype(Span::sent)>();
-    auto refused = b.at("refused").get<decltype(Span::refused)>();
+    auto sent = b.at("sent").get<decltype(Period::sent)>();
+    auto refused = b.at("refused").get<decltype(Period::refused)>();
     last_ = std::max(last_, to);
     if (!span_ || span_->view != number) {
-      Unknown u{router_, "done under a view that is not known", from, to, 0};
+      UnknownInterval u{router_, "done under a view that is not known", from, to, 0};
       for (const auto& [server, types] : sent)
         for (const auto& [type, count] : types) u.attempts += count;
       h_.unknown_.push_back(u);
@@ -101,7 +101,7 @@
       for (const auto& [type, count] : types) span_->sent[server][type] += count, all += count;
       if (judged_ && !serving_.count(server))
         h_.violations_.push_back(
-            {Violation::Kind::kSentToOneOut, router_, server, number, all, from, to});
+            {Violation::Kind::kSentToExcludedServer, router_, server, number, all, from, to});
     }
     for (const auto& [type, count] : refused) span_->refused[type] += count;
     span_->to = std::max(span_->to, to);
@@ -109,9 +109,9 @@
 
   History& h_;
   std::string router_;
-  std::optional<Span> span_;
+  std::optional<Period> span_;
   std::set<std::string> serving_;
-  std::map<std::uint64_t, Account::Versions> seen_;  // of this process
+  std::map<std::uint64_t, ActivityRecorder::Versions> seen_;  // of this process
   std::uint64_t view_ = 0, next_ = 0;
   Micros last_ = 0;
   bool view_began_ = false;  // the next view is the first of its process
@@ -123,7 +123,7 @@
   return kNames[static_cast<int>(why)];
 }
 
-std::uint64_t Span::attempts() const {
+std::uint64_t Period::attempts() const {
   std::uint64_t sum = 0;
   for (const auto& [server, types] : sent)
     for (const auto& [type, count] : types) sum += count;
@@ -137,20 +137,21 @@
   walk.end();
 }
 
-std::vector<const Span*> History::who(const std::string& kind, const std::string& content) const {
-  std::vector<const Span*> found;
-  for (const Span& s : spans_) {
+std::vector<const Period*> History::periods_with(const std::string& kind,
+                                                 const std::string& content) const {
+  std::vector<const Period*> found;
+  for (const Period& s : spans_) {
     auto v = s.versions.find(kind);
     if (v != s.versions.end() && v->second == content) found.push_back(&s);
   }
   std::stable_sort(found.begin(), found.end(),
-                   [](const Span* a, const Span* b) { return a->from < b->from; });
+                   [](const Period* a, const Period* b) { return a->from < b->from; });
   return found;
 }
 
-std::vector<const Span*> History::of(const std::string& router) const {
-  std::vector<const Span*> found;
-  for (const Span& s : spans_)
+std::vector<const Period*> History::periods_of(const std::string& router) const {
+  std::vector<const Period*> found;
+  for (const Period& s : spans_)
     if (s.router == router) found.push_back(&s);
   return found;
 }
@@ -160,7 +161,7 @@
   if (!a.never && a.after == 0) return;
   Micros end = a.never ? a.last_known : begin + a.after;
   bool before = false, began = false;  // it ran before; it came with a process that began
-  for (const Span* s : of(a.router)) {
+  for (const Period* s : periods_of(a.router)) {
     auto v = s->versions.find(kind);
     if (v == s->versions.end()) continue;
     if (v->second == content) {
@@ -168,9 +169,9 @@
       break;
     }
     before = true;
-    a.had = v->second;
+    a.previous = v->second;
   }
-  bool unknown = std::any_of(unknown_.begin(), unknown_.end(), [&](const Unknown& u) {
+  bool unknown = std::any_of(unknown_.begin(), unknown_.end(), [&](const UnknownInterval& u) {
     return u.router == a.router && u.from <= end && u.to >= begin;
   });
   // One whose trail ends before anybody had the version was not there to get it.
@@ -180,18 +181,18 @@
                                    : Arrival::Why::kActs;
 }
 
-std::vector<const Span*> History::at(Micros time) const {
-  std::map<std::string, const Span*> found;
-  for (const Span& s : spans_)
+std::vector<const Period*> History::periods_at(Micros time) const {
+  std::map<std::string, const Period*> found;
+  for (const Period& s : spans_)
     if (s.from <= time && (time < s.to || (s.open && time == s.to))) found[s.router] = &s;
-  std::vector<const Span*> out;
+  std::vector<const Period*> out;
   for (const auto& [router, span] : found) out.push_back(span);
   return out;
 }
 
 std::vector<Arrival> History::arrivals(const std::string& kind, const std::string& content) const {
   std::map<std::string, Micros> first;
-  for (const Span* s : who(kind, content)) first.emplace(s->router, s->from);
+  for (const Period* s : periods_with(kind, content)) first.emplace(s->router, s->from);
   std::vector<Arrival> out;
   if (first.empty()) return out;
   Micros begin = std::min_element(first.begin(), first.end(), [](auto& a, auto& b) {
--- a/src/core/audit/history.hpp
+++ b/src/core/audit/history.hpp
@@ -9,19 +9,19 @@
 #include <string>
 #include <vector>
 
-#include "account.hpp"
+#include "activity_recorder.hpp"
 #include "trail.hpp"
 
 namespace violetusher::core::audit {
 
 /// A time in which a router acted on the same versions.
-struct Span {
+struct Period {
   std::string router;
   std::uint64_t view = 0;  ///< of that process; another process counts anew
   Micros from = 0, to = 0;
   bool open = false;   ///< `to` is only the last that is known of it
   bool first = false;  ///< of its process
-  Account::Versions versions;
+  ActivityRecorder::Versions versions;
   std::map<std::string, std::map<std::string, std::uint64_t>> sent;  ///< attempts, server and class
   std::map<std::string, std::uint64_t> refused;                      ///< by class
 
@@ -30,17 +30,17 @@
 
 struct Violation {
   enum class Kind {
-    kSentToOneOut,  ///< an attempt went to a server that was to get nothing new
-    kTwoContents,   ///< one router, process and view, and two contents
+    kSentToExcludedServer,  ///< an attempt went to a server that was to get nothing new
+    kTwoContents,           ///< one router, process and view, and two contents
   };
-  Kind kind = Kind::kSentToOneOut;
-  std::string router, what;
+  Kind kind = Kind::kSentToExcludedServer;
+  std::string router, server;
   std::uint64_t view = 0, count = 0;
   Micros from = 0, to = 0;
 };
 
 /// A time of which a router's trail tells nothing, or nothing that can be judged.
-struct Unknown {
+struct UnknownInterval {
   std::string router, why;
   Micros from = 0, to = 0;
   std::uint64_t attempts = 0;  ///< known of, under a view that is not
@@ -59,7 +59,7 @@
   bool never = false;     ///< as far as its trail goes
   Micros last_known = 0;  ///< of the router at all
   Why why = Why::kFirst;
-  std::string had;  ///< what it acted on last before it
+  std::string previous;  ///< what it acted on last before it
 };
 std::string_view name_of(Arrival::Why why);
 
@@ -68,17 +68,18 @@
   /// Each router's trail once.
   void add(const Trail& trail);
 
-  const std::vector<Span>& spans() const { return spans_; }
+  const std::vector<Period>& spans() const { return spans_; }
   const std::vector<Violation>& violations() const { return violations_; }
-  const std::vector<Unknown>& unknown() const { return unknown_; }
+  const std::vector<UnknownInterval>& unknown() const { return unknown_; }
   const std::set<std::string>& routers() const { return routers_; }
 
   /// Spans under that version, in the order of their beginnings.
-  std::vector<const Span*> who(const std::string& kind, const std::string& content) const;
+  std::vector<const Period*> periods_with(const std::string& kind,
+                                          const std::string& content) const;
   /// All of one router.
-  std::vector<const Span*> of(const std::string& router) const;
+  std::vector<const Period*> periods_of(const std::string& router) const;
   /// The span of each router that holds the moment; none for those of which it is not known.
-  std::vector<const Span*> at(Micros time) const;
+  std::vector<const Period*> periods_at(Micros time) const;
   /// When each router first had it, the last ones first; those that never had it before them. Of
   /// those that are late, why, as far as trails tell: what stopped a change on its way they don't.
   std::vector<Arrival> arrivals(const std::string& kind, const std::string& content) const;
@@ -87,9 +88,9 @@
   class Walk;
   void explain(Arrival& a, const std::string& kind, const std::string& content, Micros begin) const;
 
-  std::vector<Span> spans_;
+  std::vector<Period> spans_;
   std::vector<Violation> violations_;
-  std::vector<Unknown> unknown_;
+  std::vector<UnknownInterval> unknown_;
   std::set<std::string> routers_;
   std::map<std::string, Micros> last_known_;
 };
--- a/src/core/audit/witness.cpp
+++ b/src/core/audit/summary_replication.cpp
@@ -1,4 +1,4 @@
-#include "witness.hpp"
+#include "summary_replication.hpp"
 
 #include <algorithm>
 #include <set>
@@ -18,9 +18,9 @@
 
 }  // namespace
 
-Witnesses::Witnesses(const std::string& name, const std::string& hall,
+Witnesses::Witnesses(const std::string& name, const std::string& zone,
                      const std::map<std::string, std::string>& peers, std::size_t count)
-    : hall_(hall), count_(count) {
+    : hall_(zone), count_(count) {
   std::vector<std::pair<std::uint64_t, Place>> ranked;
   for (const auto& [peer, where] : peers)
     if (peer != name) ranked.push_back({ledger::digest(peer, ledger::digest(name)), {peer, where}});
@@ -44,12 +44,12 @@
   for (int round = 0; round < 4; ++round)
     for (Place& p : order_) {
       if (chosen.size() >= count_) break;
-      bool passed = now < p.passed_until, other = !halls.count(p.hall);
+      bool passed = now < p.passed_until, other = !halls.count(p.zone);
       if (passed != (round >= 2) || (round % 2 == 0 && !other) ||
           std::find(chosen.begin(), chosen.end(), &p) != chosen.end())
         continue;
       chosen.push_back(&p);
-      halls.insert(p.hall);
+      halls.insert(p.zone);
     }
   std::vector<std::string> names;
   for (Place* p : chosen) {
--- a/src/core/audit/witness.hpp
+++ b/src/core/audit/summary_replication.hpp
@@ -27,7 +27,7 @@
   static constexpr std::size_t kMostFormer = 64;
 
   /// `peers`: the other routers and their halls. `count`: how many are to hold its summary.
-  Witnesses(const std::string& name, const std::string& hall,
+  Witnesses(const std::string& name, const std::string& zone,
             const std::map<std::string, std::string>& peers, std::size_t count);
 
   /// Whom to send a summary now, none most of the time.
@@ -44,7 +44,7 @@
 
  private:
   struct Place {
-    std::string name, hall;
+    std::string name, zone;
     int unanswered = 0;
     Micros passed_until = 0;
   };
--- a/src/core/audit/trail.cpp
+++ b/src/core/audit/trail.cpp
@@ -25,7 +25,7 @@
 
 /// A line as it stands, whether or not its sum is right.
 struct Line {
-  Mark mark;
+  TrailPosition mark;
   std::string_view summed, body;
 };
 
@@ -79,10 +79,12 @@
   return kNames[static_cast<int>(kind)];
 }
 
-std::string text_of(const Mark& mark) { return std::to_string(mark.number) + ":" + hex(mark.sum); }
+std::string text_of(const TrailPosition& mark) {
+  return std::to_string(mark.number) + ":" + hex(mark.sum);
+}
 
-std::optional<Mark> mark_of(std::string_view text) {
-  Mark mark;
+std::optional<TrailPosition> parse_position(std::string_view text) {
+  TrailPosition mark;
   std::size_t at = text.find(':');
   if (at == text.npos || !number(text.substr(0, at), mark.number, 10) ||
       !number(text.substr(at + 1), mark.sum, 16) || mark.number == 0 || text != text_of(mark))
@@ -90,7 +92,7 @@
   return mark;
 }
 
-std::optional<Fault> against(const Trail& trail, const Mark& held) {
+std::optional<Fault> compare_with_position(const Trail& trail, const TrailPosition& held) {
   if (trail.last.number < held.number)
     return Fault{Fault::Kind::kCut, trail.last.number + 1, held.number, {}};
   auto at = std::lower_bound(trail.blocks.begin(), trail.blocks.end(), held.number,
@@ -99,13 +101,13 @@
   return Fault{Fault::Kind::kRewritten, held.number, trail.last.number, {}};
 }
 
-std::string line_of(Mark& last, std::string_view body) {
+std::string line_of(TrailPosition& last, std::string_view body) {
   std::string summed = std::to_string(last.number + 1) + " " + std::string(body);
   last = {last.number + 1, ledger::digest(summed, last.sum)};
   return hex(last.sum) + " " + summed + "\n";
 }
 
-std::string head_of(const std::string& router, const Mark& last, const std::string& why) {
+std::string head_of(const std::string& router, const TrailPosition& last, const std::string& why) {
   return Json({{"k", "file"}, {"router", router}, {"before", hex(last.sum)}, {"why", why}})
       .dump(-1, ' ', false, Json::error_handler_t::replace);
 }
@@ -117,7 +119,7 @@
 void Reader::file(const std::string& name, std::string_view text) {
   using Kind = Fault::Kind;
   file_ = name;
-  Mark& last = trail_.last;
+  TrailPosition& last = trail_.last;
   auto first = cut(text);
   auto line = first ? parse(*first) : std::nullopt;
   auto begin = line ? head(*line) : std::nullopt;
@@ -165,7 +167,7 @@
   }
 }
 
-std::optional<Mark> end_of(std::string_view text) {
+std::optional<TrailPosition> end_of(std::string_view text) {
   Reader reader;
   reader.file("", text);
   Trail trail = reader.take();
--- a/src/core/audit/trail.hpp
+++ b/src/core/audit/trail.hpp
@@ -16,19 +16,19 @@
 using Json = nlohmann::json;
 
 /// Where a trail stands: its last block.
-struct Mark {
+struct TrailPosition {
   std::uint64_t number = 0, sum = 0;  ///< 0: nothing was written yet
 };
 
 /// "NUMBER:SUM"
-std::string text_of(const Mark& mark);
+std::string text_of(const TrailPosition& mark);
 /// Nothing where it is none.
-std::optional<Mark> mark_of(std::string_view text);
+std::optional<TrailPosition> parse_position(std::string_view text);
 
 /// The line of the next block, with its end; `last` becomes that block. `body` has no line end.
-std::string line_of(Mark& last, std::string_view body);
+std::string line_of(TrailPosition& last, std::string_view body);
 /// The body of the first block of a file.
-std::string head_of(const std::string& router, const Mark& last, const std::string& why);
+std::string head_of(const std::string& router, const TrailPosition& last, const std::string& why);
 
 struct Block {
   std::uint64_t number = 0, sum = 0;
@@ -55,7 +55,7 @@
   std::string router;
   std::vector<Block> blocks;
   std::vector<Fault> faults;
-  Mark last;
+  TrailPosition last;
 };
 
 /// Puts files together that are given in the order of their names.
@@ -74,10 +74,10 @@
 
 /// Whether the trail bears out what others hold of it; `from` is the first block in doubt. A block
 /// that went with the oldest files, or is in doubt already, tells nothing.
-std::optional<Fault> against(const Trail& trail, const Mark& held);
+std::optional<Fault> compare_with_position(const Trail& trail, const TrailPosition& held);
 
 /// The last whole block of a file that is still written, or was when its writer ended; none where
 /// there is no whole one.
-std::optional<Mark> end_of(std::string_view text);
+std::optional<TrailPosition> end_of(std::string_view text);
 
 }  // namespace violetusher::core::audit
--- a/src/core/audit/versions.cpp
+++ b/src/core/audit/versions.cpp
@@ -34,7 +34,7 @@
 }
 
 /// Why a router that answers has something else than it should; nothing where it has not.
-std::optional<Cause> cause_of(const Sighting& s, const Version& v, const Version& should,
+std::optional<Cause> cause_of(const RouterReport& s, const Version& v, const Version& should,
                               Micros may_be_old) {
   bool cut_off = s.age < 0 || s.age > may_be_old;
   if (v.wanted) {
@@ -58,11 +58,11 @@
   return kNames[static_cast<int>(cause)];
 }
 
-Audit audit(const std::vector<Sighting>& fleet, Micros may_be_old) {
+Audit audit(const std::vector<RouterReport>& fleet, Micros may_be_old) {
   Audit out;
   out.routers = fleet.size();
   std::map<std::string, std::vector<const Version*>> by_kind;
-  for (const Sighting& s : fleet)
+  for (const RouterReport& s : fleet)
     for (const auto& [kind, v] : s.versions) by_kind[kind].push_back(&v);
   std::map<std::string, Version> should;
   for (const auto& [kind, all] : by_kind) {
@@ -72,12 +72,12 @@
     Spread spread{kind, {counts.begin(), counts.end()}};
     std::stable_sort(spread.versions.begin(), spread.versions.end(),
                      [](const auto& a, const auto& b) { return a.second > b.second; });
-    out.spreads.push_back(std::move(spread));
+    out.distributions.push_back(std::move(spread));
   }
   std::set<std::string> late;
-  for (const Sighting& s : fleet) {
-    if (!s.silent.empty()) {
-      out.stragglers.push_back({s.router, "", "", "", Cause::kSilent, s.silent});
+  for (const RouterReport& s : fleet) {
+    if (!s.error.empty()) {
+      out.stragglers.push_back({s.router, "", "", "", Cause::kSilent, s.error});
       late.insert(s.router);
       continue;
     }
--- a/src/core/audit/versions.hpp
+++ b/src/core/audit/versions.hpp
@@ -22,9 +22,9 @@
   bool refused = false;               ///< it can't use what is wanted
 };
 
-struct Sighting {
-  std::string router, hall;
-  std::string silent;        ///< why it could not be asked; empty where it answered
+struct RouterReport {
+  std::string router, zone;
+  std::string error;         ///< why it could not be asked; empty where it answered
   bool disk_failed = false;  ///< of its ledger
   Micros age = 0;            ///< of what it knows of the fleet; negative: it does not know
   std::map<std::string, Version> versions;  ///< by kind: "program", "settings", "file/operator"
@@ -44,7 +44,7 @@
 
 struct Straggler {
   std::string router, kind;
-  std::string has, should;  ///< "7 of 4f1c...", or the content alone
+  std::string actual, expected;  ///< "7 of 4f1c...", or the content alone
   Cause cause = Cause::kBehind;
   std::string why;
 };
@@ -57,11 +57,11 @@
 
 struct Audit {
   std::size_t routers = 0, current = 0;
-  std::vector<Spread> spreads;
+  std::vector<Spread> distributions;
   std::vector<Straggler> stragglers;  ///< the gravest causes first, then by router
 };
 
 /// `may_be_old`: how old a router's knowledge of the fleet may be.
-Audit audit(const std::vector<Sighting>& fleet, Micros may_be_old);
+Audit audit(const std::vector<RouterReport>& fleet, Micros may_be_old);
 
 }  // namespace violetusher::core::audit
--- a/src/core/config/check.cpp
+++ b/src/core/config/check.cpp
@@ -36,7 +36,7 @@
   void check(const std::string& name, const Pool& pool) {
     std::string section = "pool " + name;
     bool selects =
-        !pool.halls.empty() || !pool.kinds.empty() || !pool.blocks.empty() || !pool.hosts.empty();
+        !pool.zones.empty() || !pool.kinds.empty() || !pool.blocks.empty() || !pool.hosts.empty();
     if (selects && !pool.servers.empty())
       tell(section, "servers",
            "pool '" + name + "' has a static list and a selection of the discovery list",
@@ -105,7 +105,7 @@
       if (!pools.insert(fallback).second)
         tell(section, "fallbacks", "pool '" + fallback + "' stands twice in route '" + name + "'",
              "a fallback must be another pool");
-    if (route.fall_back_at > route.fall_over_at)
+    if (route.failback_at > route.failover_at)
       tell(section, "fall_back_at",
            "'fall_back_at' is above 'fall_over_at': it would go to and fro", "it must be lower");
     if (route.fallbacks.empty()) {
--- a/src/core/config/compile.cpp
+++ b/src/core/config/compile.cpp
@@ -33,7 +33,7 @@
     resolve();
     build();
     if (out_.diagnostics.none()) check_model(out_.model, places_, out_.diagnostics);
-    out_.diagnostics.settle();
+    out_.diagnostics.finalize();
   }
 
  private:
@@ -395,11 +395,11 @@
              r.text("folder"),
              r.text("listen"),
              r.text("keep") == "on",
-             r.integer("keepers", l.keepers),
+             r.integer("keepers", l.voters),
              r.integer("followers", l.followers),
              r.integer("replace_after", l.replace_after),
              r.integer("trust_after", l.trust_after)};
-        if (l.keepers % 2 == 0)
+        if (l.voters % 2 == 0)
           out_.diagnostics.add(r.find("keepers")->at, "an even number of keepers",
                                "one more bears no more losses; 1, 3, 5 or 7",
                                r.find("keepers")->length);
@@ -423,7 +423,7 @@
         m.budgets[name] = {r.figure("retries", 0), r.figure("hedges", 0), r.figure("floor", 0)};
       if (kind == "pool") {
         Pool p;
-        p.halls = r.sorted("halls"), p.kinds = r.sorted("kinds"), p.hosts = r.sorted("hosts"),
+        p.zones = r.sorted("halls"), p.kinds = r.sorted("kinds"), p.hosts = r.sorted("hosts"),
         p.servers = r.sorted("servers");
         for (const std::string& b : r.sorted("blocks")) p.blocks.push_back(std::stoll(b));
         std::sort(p.blocks.begin(), p.blocks.end());
@@ -445,8 +445,8 @@
         t.prefix = r.text("prefix");
         t.pool = r.text("pool"), t.fallbacks = r.texts("fallbacks"), t.limit = r.text("limit"),
         t.budget = r.text("budget");
-        t.fall_over_at = r.figure("fall_over_at", t.fall_over_at),
-        t.fall_back_at = r.figure("fall_back_at", std::min(t.fall_back_at, t.fall_over_at));
+        t.failover_at = r.figure("fall_over_at", t.failover_at),
+        t.failback_at = r.figure("fall_back_at", std::min(t.failback_at, t.failover_at));
         t.spill = r.figure("spill", t.spill);
         m.routes[name] = t;
       }
--- a/src/core/config/diff.cpp
+++ b/src/core/config/diff.cpp
@@ -20,8 +20,8 @@
   if (l.rate > 0)
     add(write_figure(Type::kRate, l.rate) + " with bursts of " + std::to_string(l.burst));
   if (l.in_flight > 0) add(std::to_string(l.in_flight) + " in flight");
-  if (l.come_back > 0)
-    add("come back after " + write_figure(Type::kDuration, static_cast<double>(l.come_back)));
+  if (l.retry_after > 0)
+    add("come back after " + write_figure(Type::kDuration, static_cast<double>(l.retry_after)));
   return text.empty() ? "none" : text;
 }
 
@@ -47,7 +47,7 @@
     if (!items.empty())
       text += (text.empty() ? "" : "; ") + std::string(what) + " " + list_of(items);
   };
-  add("servers", p.servers), add("halls", p.halls), add("kinds", p.kinds), add("hosts", p.hosts);
+  add("servers", p.servers), add("halls", p.zones), add("kinds", p.kinds), add("hosts", p.hosts);
   std::vector<std::string> blocks;
   for (auto b : p.blocks) blocks.push_back(std::to_string(b));
   add("blocks", blocks);
@@ -108,8 +108,8 @@
   std::string text = "pool {" + pool_text(model, r.pool) + "}";
   for (const std::string& f : r.fallbacks) text += ", then {" + pool_text(model, f) + "}";
   if (!r.fallbacks.empty())
-    text += " over at " + write_figure(Type::kPercent, r.fall_over_at) + ", back at " +
-            write_figure(Type::kPercent, r.fall_back_at) + ", spill " +
+    text += " over at " + write_figure(Type::kPercent, r.failover_at) + ", back at " +
+            write_figure(Type::kPercent, r.failback_at) + ", spill " +
             write_figure(Type::kPercent, r.spill);
   return text + ", limit " + limit_text(model, r.limit) + ", budget " +
          budget_text(model, r.budget);
@@ -199,9 +199,9 @@
     auto text = [](const Model& m) {
       if (m.ledgers.empty()) return std::string("off");
       const Ledger& l = m.ledgers.begin()->second;
-      return l.fleet + " in " + l.folder + ", " + (l.keep ? "may keep" : "follows") + ", " +
-             std::to_string(l.keepers) + " keepers, " + std::to_string(m.peers.size()) +
-             " peers, " + std::to_string(m.rollouts.size()) + " files rolled out";
+      return l.fleet + " in " + l.folder + ", " + (l.may_vote ? "may keep" : "follows") + ", " +
+             std::to_string(l.voters) + " keepers, " + std::to_string(m.peers.size()) + " peers, " +
+             std::to_string(m.rollouts.size()) + " files rolled out";
     };
     out.push_back(
         {"ledger", "ledger", text(before) + " -> " + text(after) + " (at the next start)", {}});
--- a/src/core/config/model.hpp
+++ b/src/core/config/model.hpp
@@ -15,10 +15,10 @@
 namespace violetusher::core::config {
 
 struct Limit {
-  double rate = 0;             ///< a second; 0 = none
-  std::int64_t burst = 0;      ///< of the rate; 0 where there is no rate
-  std::int64_t in_flight = 0;  ///< 0 = none
-  std::int64_t come_back = 0;  ///< microseconds, told with a refusal; 0 = none
+  double rate = 0;               ///< a second; 0 = none
+  std::int64_t burst = 0;        ///< of the rate; 0 where there is no rate
+  std::int64_t in_flight = 0;    ///< 0 = none
+  std::int64_t retry_after = 0;  ///< microseconds, told with a refusal; 0 = none
   bool operator==(const Limit&) const = default;
 };
 
@@ -43,7 +43,7 @@
 /// Which servers a pool has. While it stays equal, so does the pool, with what its module has
 /// learnt.
 struct Selection {
-  std::vector<std::string> halls, kinds, hosts;  ///< sorted; empty = any
+  std::vector<std::string> zones, kinds, hosts;  ///< sorted; empty = any
   std::vector<std::int64_t> blocks;
   std::vector<std::string> servers;  ///< a static list instead of a selection
   bool operator==(const Selection&) const = default;
@@ -59,7 +59,7 @@
   std::string listener, tenant, type, prefix;  ///< empty = any
   std::string pool;
   std::vector<std::string> fallbacks;
-  double fall_over_at = 0.5, fall_back_at = 0.2, spill = 1;
+  double failover_at = 0.5, failback_at = 0.2, spill = 1;
   std::string limit, budget;
   bool operator==(const Route&) const = default;
 };
@@ -88,8 +88,8 @@
   std::string fleet;   ///< the section's name
   std::string folder;  ///< outlives the process, and is this router's own
   std::string listen;  ///< empty: the address that the others have of it
-  bool keep = false;
-  std::int64_t keepers = 3, followers = 64;
+  bool may_vote = false;
+  std::int64_t voters = 3, followers = 64;
   std::int64_t replace_after = 60'000'000, trust_after = 15'000'000;  ///< microseconds
   bool operator==(const Ledger&) const = default;
 };
@@ -103,7 +103,7 @@
 
 /// A router of the fleet; each may name all, itself among them.
 struct Peer {
-  std::string address, hall;
+  std::string address, zone;
   bool operator==(const Peer&) const = default;
 };
 
--- a/src/core/config/moved_keys.cpp
+++ b/src/core/config/moved_keys.cpp
@@ -5,7 +5,7 @@
 #include <set>
 #include <utility>
 
-#include "core/route/traffic.hpp"
+#include "core/route/traffic_policy.hpp"
 
 namespace violetusher::core::config {
 namespace {
@@ -26,7 +26,7 @@
   Balancer balancer(settings, 1, 0);
   balancer.on_list(0, ListScope::Full, members);
   std::vector<std::string> homes;
-  for (const std::string& key : keys) homes.push_back(balancer.home(key));
+  for (const std::string& key : keys) homes.push_back(balancer.preferred_server(key));
   return homes;
 }
 
--- a/src/core/config/source.cpp
+++ b/src/core/config/source.cpp
@@ -46,7 +46,7 @@
   return shown + "\n";
 }
 
-void Diagnostics::settle() {
+void Diagnostics::finalize() {
   std::stable_sort(list_.begin(), list_.end(), [](const Diagnostic& a, const Diagnostic& b) {
     return std::tie(a.at.file, a.at.line, a.stage, a.at.column) <
            std::tie(b.at.file, b.at.line, b.stage, b.at.column);
--- a/src/core/config/source.hpp
+++ b/src/core/config/source.hpp
@@ -60,7 +60,7 @@
   const std::vector<Diagnostic>& list() const { return list_; }
   /// By file, line and column; of each line only what its earliest stage found, and one word of the
   /// lexer.
-  void settle();
+  void finalize();
 
  private:
   std::vector<Diagnostic> list_;
--- a/src/core/connections/keep.cpp
+++ b/src/core/connections/idle_budget.cpp
@@ -1,4 +1,4 @@
-#include "keep.hpp"
+#include "idle_budget.hpp"
 
 #include <algorithm>
 #include <cmath>
@@ -18,33 +18,34 @@
 
 }  // namespace
 
-TablePart part_of_table(int routers, Micros keepalive) {
+ConnectionShare connection_share(int routers, Micros keepalive) {
   auto all = static_cast<std::size_t>(std::max(1, routers));
-  TablePart part;
-  part.most = std::clamp<std::size_t>(kPresumedTable / all, 1, kMost);
-  part.idle = kTableIdle * kPresumedTable / static_cast<double>(all);
-  part.longest_idle = static_cast<Micros>(kIdlePart * static_cast<double>(keepalive));
+  ConnectionShare part;
+  part.max_open = std::clamp<std::size_t>(kPresumedTable / all, 1, kMost);
+  part.mean_idle = kTableIdle * kPresumedTable / static_cast<double>(all);
+  part.max_idle_time = static_cast<Micros>(kIdlePart * static_cast<double>(keepalive));
   return part;
 }
 
-void KeepAccount::advance(Micros now, const TablePart& part, std::size_t open) {
-  auto spell = static_cast<double>(std::max<Micros>(1, part.longest_idle));
+void IdleBudget::advance(Micros now, const ConnectionShare& part, std::size_t open) {
+  auto spell = static_cast<double>(std::max<Micros>(1, part.max_idle_time));
   if (at_ >= 0 && now > at_) {
     auto passed = static_cast<double>(now - at_);
     lean_ = std::min(1.0, lean_ * std::exp2(passed / spell));
-    saved_ += passed * (lean_ * part.idle - static_cast<double>(open));
+    saved_ += passed * (lean_ * part.mean_idle - static_cast<double>(open));
   }
-  saved_ = std::clamp(saved_, 0.0, lean_ * part.idle * spell);
+  saved_ = std::clamp(saved_, 0.0, lean_ * part.mean_idle * spell);
   at_ = std::max(at_, now);
 }
 
-std::size_t KeepAccount::to_close(const TablePart& part, std::size_t open, std::size_t idle) const {
+std::size_t IdleBudget::to_close(const ConnectionShare& part, std::size_t open,
+                                 std::size_t idle) const {
   if (saved_ > 0) return 0;
-  auto allowed = static_cast<std::size_t>(lean_ * part.idle);
+  auto allowed = static_cast<std::size_t>(lean_ * part.mean_idle);
   return open > allowed ? std::min(idle, open - allowed) : 0;
 }
 
-void KeepAccount::on_refused() {
+void IdleBudget::on_refused() {
   lean_ = std::max(kLeanest, lean_ / 2);
   saved_ = 0;
 }
--- a/src/core/flight/record.cpp
+++ b/src/core/flight/record.cpp
@@ -12,7 +12,7 @@
   return at <= kMostKind ? kNames[at] : "unknown";
 }
 
-const char* name_of(Why why) {
+const char* name_of(Reason why) {
   static const char* const kNames[] = {"none",  "module",   "no-route",   "limit", "budget",
                                        "table", "bytes",    "buffer",     "dial",  "deadline",
                                        "left",  "shutdown", "bad-command"};
--- a/src/core/flight/record.hpp
+++ b/src/core/flight/record.hpp
@@ -17,49 +17,49 @@
 
 enum class Kind : std::uint8_t {
   kNone = 0,
-  kTaken,      ///< text: the client's id; value: microseconds until the deadline
-  kRouted,     ///< text: the pool; number: its module
-  kSent,       ///< given to a server's connection; text: the server; number: the connection;
-               ///< value: how many attempts stand before it there
-  kWritten,    ///< its last byte went to the socket; number: the connection
-  kDial,       ///< text: the server; number: the connection
-  kDialEnd,    ///< number: the connection; why: kNone where it came up, else kDial
-  kMoved,      ///< went to another connection, as its dial failed; number, value as in kSent
-  kEnd,        ///< of an attempt; value: its Status; text: the server
-  kCancelled,  ///< the attempt was given up; value: its Status
-  kRefused,    ///< the final answer is a refusal; why: by which bound; value: come back, us
-  kFailed,     ///< the final answer promises nothing; why
-  kAnswered,   ///< the final answer serves; number: bytes of the value
-  kGone,       ///< nobody is left to get an answer
-  kForgotten,  ///< the last thing kept of a request
-  kLate,       ///< a final answer after the deadline; value: by how much, us
-  kSecond,     ///< a second final answer was stopped
-  kAfter,      ///< an attempt after the final answer was stopped
-  kNoLink,     ///< no connection to the server had room for the attempt; text: the server; value:
-               ///< connections that it has
+  kReceived,      ///< text: the client's id; value: microseconds until the deadline
+  kRouted,        ///< text: the pool; number: its module
+  kSent,          ///< given to a server's connection; text: the server; number: the connection;
+                  ///< value: how many attempts stand before it there
+  kWritten,       ///< its last byte went to the socket; number: the connection
+  kDial,          ///< text: the server; number: the connection
+  kDialEnd,       ///< number: the connection; why: kNone where it came up, else kDial
+  kMoved,         ///< went to another connection, as its dial failed; number, value as in kSent
+  kEnd,           ///< of an attempt; value: its Status; text: the server
+  kCancelled,     ///< the attempt was given up; value: its Status
+  kRefused,       ///< the final answer is a refusal; why: by which bound; value: come back, us
+  kFailed,        ///< the final answer promises nothing; why
+  kAnswered,      ///< the final answer serves; number: bytes of the value
+  kClientGone,    ///< nobody is left to get an answer
+  kReleased,      ///< the last thing kept of a request
+  kLate,          ///< a final answer after the deadline; value: by how much, us
+  kSecondAnswer,  ///< a second final answer was stopped
+  kAttemptAfterAnswer,  ///< an attempt after the final answer was stopped
+  kNoConnection,        ///< no connection to the server had room for the attempt; text: the server;
+                        ///< value: connections that it has
 };
-constexpr std::uint8_t kMostKind = static_cast<std::uint8_t>(Kind::kNoLink);
+constexpr std::uint8_t kMostKind = static_cast<std::uint8_t>(Kind::kNoConnection);
 
 /// Whose bound it was that a request met.
-enum class Why : std::uint8_t {
+enum class Reason : std::uint8_t {
   kNone = 0,
-  kModule,    ///< the decision module refused or failed it
-  kNoRoute,   ///< the operator file has no route for it
-  kLimit,     ///< a limit, or a banner's share, of the operator file
-  kBudget,    ///< a retry budget of the operator file
-  kTable,     ///< as many requests are open as may be
-  kBytes,     ///< what open requests hold has reached its bound
-  kBuffer,    ///< the client's connection is beyond its bound
-  kDial,      ///< no connection to the server came up
-  kDeadline,  ///< its time was over
-  kLeft,      ///< the client ended its sending
-  kShutdown,  ///< the router ended
-  kBad,       ///< the command can't be used
+  kModule,             ///< the decision module refused or failed it
+  kNoRoute,            ///< the operator file has no route for it
+  kLimit,              ///< a limit, or a banner's share, of the operator file
+  kBudget,             ///< a retry budget of the operator file
+  kRequestLimit,       ///< as many requests are open as may be
+  kMemoryLimit,        ///< what open requests hold has reached its bound
+  kClientBufferLimit,  ///< the client's connection is beyond its bound
+  kDial,               ///< no connection to the server came up
+  kDeadline,           ///< its time was over
+  kClientLeft,         ///< the client ended its sending
+  kShutdown,           ///< the router ended
+  kBadCommand,         ///< the command can't be used
 };
-constexpr std::uint8_t kMostWhy = static_cast<std::uint8_t>(Why::kBad);
+constexpr std::uint8_t kMostWhy = static_cast<std::uint8_t>(Reason::kBadCommand);
 
 const char* name_of(Kind kind);
-const char* name_of(Why why);
+const char* name_of(Reason why);
 const char* name_of(Status status);
 
 struct Record {
@@ -70,11 +70,11 @@
   std::uint32_t number = 0;
   std::int16_t attempt = -1;  ///< -1 = of the whole request
   Kind kind = Kind::kNone;
-  Why why = Why::kNone;
+  Reason why = Reason::kNone;
   char text[kText] = {};    ///< cut off where it is longer; zeros behind it
   std::uint16_t check = 0;  ///< see seal()
 
-  std::string words() const { return {text, ::strnlen(text, kText)}; }
+  std::string text_string() const { return {text, ::strnlen(text, kText)}; }
 };
 static_assert(sizeof(Record) == 64 && std::is_trivially_copyable_v<Record>);
 
--- a/src/core/flight/recording.cpp
+++ b/src/core/flight/recording.cpp
@@ -74,7 +74,7 @@
   std::uint64_t words[sizeof header / 8];
   std::memcpy(words, &header, sizeof header);
   if (mix(words, sizeof header / 8 - 1, kVersion) != header.checksum ||
-      header.record_size != sizeof(Record) || header.block_size != kBlock) {
+      header.record_size != sizeof(Record) || header.block_size != kBlockBytes) {
     error = "the head of the recording is broken";
     return false;
   }
@@ -84,12 +84,13 @@
   out.pid = header.pid;
   std::vector<Block> blocks;
   for (std::size_t k = 1; k <= header.blocks; ++k) {
-    if (bytes.size() <= k * kBlock) {
+    if (bytes.size() <= k * kBlockBytes) {
       out.problems.push_back("the file ends before block " + std::to_string(k) + " of " +
                              std::to_string(header.blocks));
       break;
     }
-    auto block = bytes.subspan(k * kBlock, std::min(kBlock, bytes.size() - k * kBlock));
+    auto block =
+        bytes.subspan(k * kBlockBytes, std::min(kBlockBytes, bytes.size() - k * kBlockBytes));
     Block b{{}, {}, k};
     if (block.size() < sizeof b.header) {
       out.problems.push_back("block " + std::to_string(k) + ": the file ends within it");
--- a/src/core/flight/ring.cpp
+++ b/src/core/flight/ring.cpp
@@ -6,7 +6,7 @@
 namespace violetusher::core::flight {
 
 Ring::Ring(std::span<std::byte> memory, std::string_view name, std::int64_t pid, Micros now)
-    : memory_(memory), blocks_(memory.size() / kBlock - 1) {
+    : memory_(memory), blocks_(memory.size() / kBlockBytes - 1) {
   if (memory.size() < kLeast) throw std::invalid_argument("flight ring: too small");
   FileHeader header;
   header.blocks = blocks_;
@@ -22,7 +22,7 @@
 void Ring::open_block(Micros now) {
   // The records of the round before go first: a block is never half of one round and half of
   // another.
-  std::fill_n(block(), kBlock, std::byte{0});
+  std::fill_n(block(), kBlockBytes, std::byte{0});
   BlockHeader header;
   header.magic = kBlockMagic;
   header.version = kVersion;
--- a/src/core/flight/ring.hpp
+++ b/src/core/flight/ring.hpp
@@ -1,10 +1,10 @@
 // The ring of the flight recorder in memory that somebody else owns, a mapped file for one that
 // shall survive the process. No allocation, no call of the system.
 //
-// One block of kBlock bytes for the file, then blocks of records. A block is filled from its start;
-// once full it gets its checksum and the next one begins, the oldest where all are full. Whatever
-// the moment at which writing stops, each record is whole or is told from a whole one by its own
-// check.
+// One block of kBlockBytes bytes for the file, then blocks of records. A block is filled from its
+// start; once full it gets its checksum and the next one begins, the oldest where all are full.
+// Whatever the moment at which writing stops, each record is whole or is told from a whole one by
+// its own check.
 #pragma once
 
 #include <algorithm>
@@ -16,16 +16,16 @@
 
 namespace violetusher::core::flight {
 
-constexpr std::size_t kBlock = 4096;
+constexpr std::size_t kBlockBytes = 4096;
 constexpr std::uint64_t kFileMagic = 0x3154484749'4c4656ull;  // "VFLIGHT1"
 constexpr std::uint32_t kBlockMagic = 0x4b4c4246;             // "FBLK"
-constexpr std::size_t kLeast = 3 * kBlock;                    ///< bytes of the smallest ring
+constexpr std::size_t kLeast = 3 * kBlockBytes;               ///< bytes of the smallest ring
 
 struct FileHeader {
   std::uint64_t magic = kFileMagic;
   std::uint16_t version = kVersion;
   std::uint16_t record_size = sizeof(Record);
-  std::uint32_t block_size = kBlock;
+  std::uint32_t block_size = kBlockBytes;
   std::uint64_t blocks = 0;
   Micros started = 0;
   std::int64_t pid = 0;
@@ -44,7 +44,7 @@
   std::uint64_t reserved[4] = {};
 };
 static_assert(sizeof(BlockHeader) == 64);
-constexpr std::size_t kRecordsPerBlock = (kBlock - sizeof(BlockHeader)) / sizeof(Record);
+constexpr std::size_t kRecordsPerBlock = (kBlockBytes - sizeof(BlockHeader)) / sizeof(Record);
 
 class Ring {
  public:
@@ -63,11 +63,13 @@
   /// Records that were written over.
   std::uint64_t overwritten() const;
   std::uint64_t written() const { return (sequence_ - 1) * kRecordsPerBlock + used_; }
-  std::size_t bytes() const { return (blocks_ + 1) * kBlock; }
+  std::size_t bytes() const { return (blocks_ + 1) * kBlockBytes; }
   std::span<const std::byte> memory() const { return memory_.first(bytes()); }
 
  private:
-  std::byte* block() const { return memory_.data() + (1 + (sequence_ - 1) % blocks_) * kBlock; }
+  std::byte* block() const {
+    return memory_.data() + (1 + (sequence_ - 1) % blocks_) * kBlockBytes;
+  }
   void next_block(Micros now);
   void open_block(Micros now);
 
@@ -80,10 +82,10 @@
 /// What notes events, where there is a ring; else costs one branch.
 class Recorder {
  public:
-  void use(Ring* ring) { ring_ = ring; }
+  void attach(Ring* ring) { ring_ = ring; }
   bool on() const { return ring_ != nullptr; }
-  void note(Micros at, Kind kind, RequestId request, int attempt = -1, std::uint32_t number = 0,
-            std::int64_t value = 0, std::string_view text = {}, Why why = Why::kNone) {
+  void record(Micros at, Kind kind, RequestId request, int attempt = -1, std::uint32_t number = 0,
+              std::int64_t value = 0, std::string_view text = {}, Reason why = Reason::kNone) {
     if (!ring_) return;
     Record r;
     r.at = at;
--- a/src/core/flight/timeline.cpp
+++ b/src/core/flight/timeline.cpp
@@ -11,22 +11,22 @@
 
 }  // namespace
 
-Micros AttemptLine::connecting() const {
+Micros AttemptTimeline::connecting() const {
   if (!sent || !ended) return 0;
   return (written ? std::min(written, ended) : ended) - sent;
 }
 
-Micros AttemptLine::behind() const {
+Micros AttemptTimeline::behind() const {
   if (!written || !ended || written >= ended) return 0;
   return std::clamp<Micros>(head - written, 0, ended - written);
 }
 
-Micros AttemptLine::serving() const {
+Micros AttemptTimeline::serving() const {
   if (!sent || !ended) return 0;
   return ended - sent - connecting() - behind();
 }
 
-const char* Parts::largest() const {
+const char* TimeBreakdown::largest() const {
   Micros most = std::max({router, connecting, behind, serving});
   if (most == 0) return "nothing";
   if (most == serving) return "at the server";
@@ -35,19 +35,19 @@
   return "in the router";
 }
 
-Parts Timeline::parts() const {
-  Parts p;
+TimeBreakdown Timeline::parts() const {
+  TimeBreakdown p;
   if (!taken || answered <= taken || took() > kLongest) return p;
   // The moments at which anything changes cut the time into pieces.
   std::vector<Micros> cuts{taken, answered};
-  for (const AttemptLine& a : attempts)
+  for (const AttemptTimeline& a : attempts)
     for (Micros at : {a.sent, a.written, a.written + a.behind(), a.ended})
       if (at > taken && at < answered) cuts.push_back(at);
   std::sort(cuts.begin(), cuts.end());
   for (std::size_t k = 0; k + 1 < cuts.size(); ++k) {
     Micros from = cuts[k], span = cuts[k + 1] - from;
     int furthest = 0;
-    for (const AttemptLine& a : attempts) {
+    for (const AttemptTimeline& a : attempts) {
       if (!a.sent || from < a.sent || (a.ended && from >= a.ended)) continue;
       bool written = a.written && from >= a.written;
       bool ahead = written && a.ended && from >= a.written + a.behind();
@@ -70,7 +70,7 @@
   };
   std::unordered_map<std::uint32_t, std::vector<Place>> queues;
   auto leave = [&](std::size_t line, std::size_t attempt, Micros when) {
-    AttemptLine& a = lines[line].attempts[attempt];
+    AttemptTimeline& a = lines[line].attempts[attempt];
     auto queue = queues.find(a.connection);
     if (queue == queues.end()) return;
     auto& list = queue->second;
@@ -94,7 +94,7 @@
     std::size_t number = it->second;
     Timeline& line = lines[number];
     line.records.push_back(r);
-    auto attempt = [&]() -> AttemptLine* {
+    auto attempt = [&]() -> AttemptTimeline* {
       if (r.attempt < 0 || r.attempt >= kMostAttempts) return nullptr;
       auto k = static_cast<std::size_t>(r.attempt);
       while (line.attempts.size() <= k) {
@@ -103,20 +103,20 @@
       }
       return &line.attempts[k];
     };
-    AttemptLine* a = attempt();
+    AttemptTimeline* a = attempt();
     switch (r.kind) {
-      case Kind::kTaken:
-        line.taken = r.at, line.id = r.words(), line.deadline = r.at + r.value;
+      case Kind::kReceived:
+        line.taken = r.at, line.id = r.text_string(), line.deadline = r.at + r.value;
         break;
       case Kind::kRouted:
-        line.pool = r.words();
+        line.pool = r.text_string();
         break;
       case Kind::kSent:
       case Kind::kMoved:
         if (!a) break;
         if (r.kind == Kind::kMoved) leave(number, static_cast<std::size_t>(r.attempt), r.at);
         if (!a->sent) a->sent = r.at;
-        a->server = r.words(), a->connection = r.number, a->ahead = r.value;
+        a->server = r.text_string(), a->connection = r.number, a->ahead = r.value;
         queues[r.number].push_back({number, static_cast<std::size_t>(r.attempt)});
         break;
       case Kind::kWritten:
@@ -128,16 +128,16 @@
       case Kind::kEnd:
         if (!a) break;
         a->ended = r.at, a->status = static_cast<Status>(r.value);
-        if (a->server.empty()) a->server = r.words();
+        if (a->server.empty()) a->server = r.text_string();
         leave(number, static_cast<std::size_t>(r.attempt), r.at);
         break;
       case Kind::kRefused:
       case Kind::kFailed:
       case Kind::kAnswered:
-      case Kind::kGone:
+      case Kind::kClientGone:
         if (line.end != Kind::kNone) break;
         line.end = r.kind, line.why = r.why, line.answered = r.at;
-        if (r.kind == Kind::kRefused) line.come_back = r.value;
+        if (r.kind == Kind::kRefused) line.retry_after = r.value;
         break;
       default:
         break;
@@ -160,11 +160,11 @@
   };
   for (const Record& r : recording.records) {
     s.late += r.kind == Kind::kLate;
-    s.second += r.kind == Kind::kSecond;
-    s.after += r.kind == Kind::kAfter;
+    s.second += r.kind == Kind::kSecondAnswer;
+    s.after += r.kind == Kind::kAttemptAfterAnswer;
     s.dials += r.kind == Kind::kDial;
-    s.no_link += r.kind == Kind::kNoLink;
-    s.dials_failed += r.kind == Kind::kDialEnd && r.why != Why::kNone;
+    s.no_connection += r.kind == Kind::kNoConnection;
+    s.dials_failed += r.kind == Kind::kDialEnd && r.why != Reason::kNone;
   }
   for (const Timeline& line : lines) {
     ++s.requests;
@@ -172,7 +172,7 @@
       ++s.answered, ++second(line.answered).answered;
       continue;
     }
-    s.gone += line.end == Kind::kGone;
+    s.gone += line.end == Kind::kClientGone;
     s.open += line.end == Kind::kNone;
     if (line.end != Kind::kRefused && line.end != Kind::kFailed) continue;
     bool refused = line.end == Kind::kRefused;
--- a/src/core/flight/timeline.hpp
+++ b/src/core/flight/timeline.hpp
@@ -10,7 +10,7 @@
 namespace violetusher::core::flight {
 
 /// One attempt as the router saw it. Times are 0 where the recording has none.
-struct AttemptLine {
+struct AttemptTimeline {
   int attempt = 0;
   std::string server;
   std::uint32_t connection = 0;
@@ -30,7 +30,7 @@
 
 /// The parts that the time of a request is told apart in. A moment counts to the furthest attempt
 /// under way, so that the parts add up to the request's time.
-struct Parts {
+struct TimeBreakdown {
   Micros router = 0;      ///< no attempt was under way
   Micros connecting = 0;  ///< the furthest attempt waited for a connection
   Micros behind = 0;      ///< ... stood behind others
@@ -44,15 +44,16 @@
   std::string id;    ///< the client's; empty where the recording begins after it
   std::string pool;  ///< empty where no operator file routes
   Micros taken = 0, answered = 0, deadline = 0;
-  Kind end = Kind::kNone;  ///< kAnswered, kRefused, kFailed, kGone, or kNone where it is still open
-  Why why = Why::kNone;
-  Micros come_back = 0;
+  Kind end =
+      Kind::kNone;  ///< kAnswered, kRefused, kFailed, kClientGone, or kNone where it is still open
+  Reason why = Reason::kNone;
+  Micros retry_after = 0;
   bool whole = false;  ///< the recording has it from its taking to its answer
-  std::vector<AttemptLine> attempts;
+  std::vector<AttemptTimeline> attempts;
   std::vector<Record> records;
 
   Micros took() const { return answered && taken ? answered - taken : 0; }
-  Parts parts() const;
+  TimeBreakdown parts() const;
 };
 
 /// All requests of a recording, in the order in which they were taken.
@@ -62,7 +63,7 @@
 struct Stats {
   std::uint64_t requests = 0, answered = 0, refused = 0, failed = 0, gone = 0, open = 0;
   std::uint64_t late = 0, second = 0, after = 0, dials = 0, dials_failed = 0;
-  std::uint64_t no_link = 0;                     ///< attempts for which no connection had room
+  std::uint64_t no_connection = 0;               ///< attempts for which no connection had room
   std::map<std::string, std::uint64_t> reasons;  ///< of refusals and failures, by whose bound
   struct Second {
     std::int64_t at = 0;  ///< seconds since the recording's first record
--- a/src/core/guard/guard.hpp
+++ b/src/core/guard/invariants.hpp
@@ -26,15 +26,15 @@
 
 /// Why the router closed a client's connection.
 enum class CloseReason : std::uint8_t {
-  kClientGone,   ///< the client closed or broke it
-  kAnswered,     ///< the last answer was owed a close
-  kIdle,         ///< it rested too long
-  kCommandTime,  ///< a command did not come whole in time
-  kStalled,      ///< the client took none of its answer
-  kRoom,         ///< another connection needed its place
-  kBuffers,      ///< too much is held for all clients
-  kValueCut,     ///< a long value can't be finished
-  kStopping,     ///< the router ends
+  kClientClosed,    ///< the client closed or broke it
+  kAnswered,        ///< the last answer was owed a close
+  kIdle,            ///< it rested too long
+  kCommandTimeout,  ///< a command did not come whole in time
+  kStalled,         ///< the client took none of its answer
+  kEvicted,         ///< another connection needed its place
+  kBufferLimit,     ///< too much is held for all clients
+  kValueTruncated,  ///< a long value can't be finished
+  kStopping,        ///< the router ends
   kCount,
 };
 
@@ -48,7 +48,7 @@
   std::string what;
 };
 
-class Guard {
+class InvariantChecker {
  public:
   using Report = std::function<void(const Violation&)>;
   template <typename Of>
@@ -58,23 +58,23 @@
   void on_violation(Report report) { report_ = std::move(report); }
 
   /// An attempt's first byte has been written.
-  struct Begin {
+  struct AttemptStart {
     RequestId request = 0;
     std::string_view server;
-    bool wanted = true;  ///< the server takes anything new
-    bool open = true;    ///< somebody waits for the answer
-    bool copy = false;   ///< another attempt is out
-    bool copies_allowed = true;
-    Micros told_until = 0;  ///< what the server was told ends then
-    Micros deadline = 0;    ///< the client's time
+    bool server_available = true;  ///< the server takes anything new
+    bool request_open = true;      ///< somebody waits for the answer
+    bool hedge = false;            ///< another attempt is out
+    bool hedges_allowed = true;
+    Micros sent_deadline = 0;  ///< what the server was told ends then
+    Micros deadline = 0;       ///< the client's time
   };
-  void begin(const Begin& attempt);
+  void on_attempt_start(const AttemptStart& attempt);
   /// A final answer is given; `first`: there was none before.
-  void answer(RequestId request, bool first);
+  void on_final_response(RequestId request, bool first);
   /// A client's connection is closed while it waits for the answers of `owed` requests.
-  void close(CloseReason reason, std::size_t owed, RequestId request);
+  void on_close(CloseReason reason, std::size_t owed, RequestId request);
   /// Clients are taken from now on.
-  void start(bool bans_known);
+  void on_start(bool bans_known);
 
   const Counts<Invariant>& violations() const { return violations_; }
   const Counts<CloseReason>& closes() const { return closes_; }
--- a/src/core/ledger/heal.cpp
+++ b/src/core/ledger/reconfiguration.cpp
@@ -1,4 +1,4 @@
-#include "heal.hpp"
+#include "reconfiguration.hpp"
 
 #include <algorithm>
 #include <map>
@@ -6,10 +6,10 @@
 namespace violetusher::core::ledger {
 namespace {
 
-std::size_t in_hall(const std::vector<Member>& members, const std::string& hall) {
+std::size_t in_hall(const std::vector<Member>& members, const std::string& zone) {
   return static_cast<std::size_t>(
       std::count_if(members.begin(), members.end(),
-                    [&](const Member& m) { return m.votes && !m.gone && m.hall == hall; }));
+                    [&](const Member& m) { return m.votes && !m.gone && m.zone == zone; }));
 }
 
 /// Of those that could come, the one whose hall has the fewest; names break ties.
@@ -20,8 +20,8 @@
           return m.identity == c.identity || (m.name == c.name && !m.gone);
         }))
       continue;
-    if (!found || std::make_pair(in_hall(members, c.hall), c.name) <
-                      std::make_pair(in_hall(members, found->hall), found->name))
+    if (!found || std::make_pair(in_hall(members, c.zone), c.name) <
+                      std::make_pair(in_hall(members, found->zone), found->name))
       found = &c;
   }
   return found;
@@ -71,12 +71,12 @@
     const Member* crowded = nullptr;
     for (const Member& m : members)
       if (m.votes && !m.gone && m.identity != self &&
-          (!crowded || in_hall(members, m.hall) > in_hall(members, crowded->hall)))
+          (!crowded || in_hall(members, m.zone) > in_hall(members, crowded->zone)))
         crowded = &m;
     if (!crowded) return {};
     if (alive > wanted) return Step{Step::Kind::kRemove, crowded->identity, {}};
-    if (2 * in_hall(members, crowded->hall) > wanted &&
-        in_hall(members, next->hall) + 1 < in_hall(members, crowded->hall))
+    if (2 * in_hall(members, crowded->zone) > wanted &&
+        in_hall(members, next->zone) + 1 < in_hall(members, crowded->zone))
       return Step{Step::Kind::kAdd, next->identity, next->name};
   }
   return {};
@@ -95,13 +95,13 @@
   std::vector<Member> after;
   for (const Member& m : members)
     if (m.name != move.from) after.push_back(m);
-  after.push_back({to->identity, to->name, to->hall, true, false});
+  after.push_back({to->identity, to->name, to->zone, true, false});
   // Whoever leads then is none of both, if anybody else is there.
   auto self =
       std::find_if(after.begin(), after.end(), [&](const Member& m) { return m.name != move.to; });
   if (next_step(self == after.end() ? to->identity : self->identity, wanted, after,
-                {{from->identity, from->name, from->hall}}))
-    return "the group would undo it: hall '" + to->hall + "' would have too many keepers";
+                {{from->identity, from->name, from->zone}}))
+    return "the group would undo it: hall '" + to->zone + "' would have too many keepers";
   return {};
 }
 
--- a/src/core/ledger/heal.hpp
+++ b/src/core/ledger/reconfiguration.hpp
@@ -14,14 +14,14 @@
 
 struct Member {
   std::uint64_t identity = 0;
-  std::string name, hall;
+  std::string name, zone;
   bool votes = false;
   bool gone = false;  ///< not heard of for longer than the group puts up with
 };
 
 struct Candidate {
   std::uint64_t identity = 0;
-  std::string name, hall;
+  std::string name, zone;
 };
 
 struct Step {
--- a/src/core/ledger/probation.cpp
+++ b/src/core/ledger/rejoin_check.cpp
@@ -1,4 +1,4 @@
-#include "probation.hpp"
+#include "rejoin_check.hpp"
 
 #include <algorithm>
 
@@ -6,19 +6,19 @@
 
 namespace violetusher::core::ledger {
 
-void Mark::raise(const Mark& o) {
+void LogPosition::raise(const LogPosition& o) {
   term = std::max(term, o.term);
   if (log_before(o)) std::tie(last_term, last_index) = std::tie(o.last_term, o.last_index);
 }
 
-Mark Mark::parse(const Json& v) {
+LogPosition LogPosition::parse(const Json& v) {
   if (!v.is_array() || v.size() != 3) return {};
   for (const Json& part : v)
     if (!part.is_number_unsigned()) return {};
   return {v[0], v[1], v[2]};
 }
 
-Probation::Probation(std::uint64_t self, const Mark& own, const Voters& own_voters,
+Probation::Probation(std::uint64_t self, const LogPosition& own, const Voters& own_voters,
                      std::size_t wanted, std::size_t routers)
     : self_(self), own_(own), floor_(own) {
   count(own_voters);
--- a/src/core/ledger/probation.hpp
+++ b/src/core/ledger/rejoin_check.hpp
@@ -25,18 +25,18 @@
 namespace violetusher::core::ledger {
 
 /// How far a keeper's disk is: its term, and the end of its log. Neither ever goes back.
-struct Mark {
+struct LogPosition {
   std::uint64_t term = 0, last_term = 0, last_index = 0;
   /// Whether a log that ends so is older than one that ends as `o` says; raft's own order.
-  bool log_before(const Mark& o) const {
+  bool log_before(const LogPosition& o) const {
     return std::tie(last_term, last_index) < std::tie(o.last_term, o.last_index);
   }
-  bool behind(const Mark& o) const { return term < o.term || log_before(o); }
+  bool behind(const LogPosition& o) const { return term < o.term || log_before(o); }
   /// The later of both, each part alone.
-  void raise(const Mark& o);
-  bool operator==(const Mark&) const = default;
+  void raise(const LogPosition& o);
+  bool operator==(const LogPosition&) const = default;
   Json json() const { return Json::array({term, last_term, last_index}); }
-  static Mark parse(const Json& value);
+  static LogPosition parse(const Json& value);
 };
 
 class Probation {
@@ -50,12 +50,12 @@
   };
   /// `own_voters`: by this disk's log, its own identity among them or not. `wanted`: voters of the
   /// whole group. `routers`: all others of the fleet.
-  Probation(std::uint64_t self, const Mark& own, const Voters& own_voters, std::size_t wanted,
-            std::size_t routers);
+  Probation(std::uint64_t self, const LogPosition& own, const Voters& own_voters,
+            std::size_t wanted, std::size_t routers);
 
   struct Answer {
-    Mark theirs;       ///< how far it is; nothing of one that keeps nothing
-    Mark of_this_one;  ///< the furthest that it ever heard this one say it is
+    LogPosition theirs;       ///< how far it is; nothing of one that keeps nothing
+    LogPosition of_this_one;  ///< the furthest that it ever heard this one say it is
     Voters voters;
   };
   void heard(std::uint64_t from, const Answer& answer);
@@ -66,7 +66,7 @@
   std::size_t needed() const { return std::max(needed_, routers_); }
   std::size_t answered() const { return answered_.size(); }
   /// What the votes of this one must respect once it is cleared.
-  const Mark& floor() const { return floor_; }
+  const LogPosition& floor() const { return floor_; }
 
  private:
   void count(const Voters& voters);
@@ -74,7 +74,7 @@
   std::uint64_t self_;
   Voters voters_;
   std::set<std::uint64_t> answered_;
-  Mark own_, floor_;
+  LogPosition own_, floor_;
   std::size_t needed_ = 0;   // of the voters
   std::size_t routers_ = 0;  // of all
   bool vouched_ = false, old_ = false;
--- a/src/core/ledger/rollout.cpp
+++ b/src/core/ledger/rollout.cpp
@@ -26,7 +26,7 @@
 
 std::string Plan::bytes() const {
   return to_bytes(
-      {{"n", number}, {"s", share}, {"t", json_of(next)}, {"l", json_of(last)}, {"m", mark}});
+      {{"n", number}, {"s", share}, {"t", json_of(next)}, {"l", json_of(previous)}, {"m", nonce}});
 }
 
 std::optional<Plan> Plan::parse(std::string_view bytes) {
@@ -38,19 +38,19 @@
   for (const char* key : {"t", "l"})
     if (!v->contains(key) || !((*v)[key].is_null() || (*v)[key].is_binary())) return {};
   p.number = (*v)["n"];
-  p.mark = (*v)["m"];
+  p.nonce = (*v)["m"];
   std::uint64_t share = (*v)["s"];
   if (p.number == 0 || share > 100) return {};
   p.share = static_cast<unsigned>(share);
   if ((*v)["t"].is_binary()) p.next = bytes_of((*v)["t"]);
-  if ((*v)["l"].is_binary()) p.last = bytes_of((*v)["l"]);
-  for (const Text* t : {&p.next, &p.last})
+  if ((*v)["l"].is_binary()) p.previous = bytes_of((*v)["l"]);
+  for (const Text* t : {&p.next, &p.previous})
     if (*t && (*t)->size() > kMostRolled) return {};
   return p;
 }
 
-Proposal begin(const std::optional<Plan>& now, std::string text, unsigned share) {
-  if (now && now->under_way())
+Proposal start_rollout(const std::optional<Plan>& now, std::string text, unsigned share) {
+  if (now && now->in_progress())
     return {{},
             "roll-out " + std::to_string(now->number) + " is under way, at " +
                 std::to_string(now->share) + " per cent: widen it to 100 or take it back first"};
@@ -63,7 +63,7 @@
 }
 
 Proposal widen(const std::optional<Plan>& now, unsigned share) {
-  if (!now || !now->under_way()) return {{}, "no roll-out is under way"};
+  if (!now || !now->in_progress()) return {{}, "no roll-out is under way"};
   if (share <= now->share || share > 100)
     return {{}, "it stands at " + std::to_string(now->share) + " per cent: widen it to more"};
   Plan p = *now;
@@ -71,15 +71,15 @@
   return {p, {}};
 }
 
-Proposal back(const std::optional<Plan>& now) {
-  if (!now || now->next == now->last) return {{}, "there is nothing to go back from"};
-  return {Plan{now->number + 1, 100, now->last, now->last, 0}, {}};
+Proposal roll_back(const std::optional<Plan>& now) {
+  if (!now || now->next == now->previous) return {{}, "there is nothing to go back from"};
+  return {Plan{now->number + 1, 100, now->previous, now->previous, 0}, {}};
 }
 
 std::size_t part_of(unsigned share, std::size_t routers) { return (routers * share + 99) / 100; }
 
-bool among_first(const Plan& plan, const std::string& name, const std::vector<std::string>& names) {
-  if (!plan.under_way() || mutant(Mutant::kShareIgnored)) return true;
+bool is_selected(const Plan& plan, const std::string& name, const std::vector<std::string>& names) {
+  if (!plan.in_progress() || mutant(Mutant::kShareIgnored)) return true;
   auto own = std::pair(place(plan, name), name);
   auto before = std::count_if(names.begin(), names.end(), [&](const std::string& other) {
     return other != name && std::pair(place(plan, other), other) < own;
@@ -87,19 +87,19 @@
   return static_cast<std::size_t>(before) < part_of(plan.share, names.size());
 }
 
-const Text& wanted(const Plan& plan, const std::string& name,
-                   const std::vector<std::string>& names) {
-  return among_first(plan, name, names) ? plan.next : plan.last;
+const Text& target_text(const Plan& plan, const std::string& name,
+                        const std::vector<std::string>& names) {
+  return is_selected(plan, name, names) ? plan.next : plan.previous;
 }
 
-void Adopter::found(std::string has) {
+void Adopter::set_current(std::string has) {
   if (!mutant(Mutant::kFilesNotRead)) has_ = std::move(has);
   refused_.clear();
   why_.clear();
   wait_ = not_before_ = 0;
 }
 
-void Adopter::want(std::uint64_t version, const Text& text, Micros not_before) {
+void Adopter::set_target(std::uint64_t version, const Text& text, Micros not_before) {
   version_ = version;
   if (text == text_) return;
   text_ = text;
@@ -111,17 +111,17 @@
 }
 
 std::optional<Adopter::Job> Adopter::next(Micros now) {
-  if (job_ || there() || now < not_before_ || refused_ == label(text_)) return {};
+  if (job_ || at_target() || now < not_before_ || refused_ == label(text_)) return {};
   job_ = Job{version_, text_};
   return job_;
 }
 
-void Adopter::ended(End end, const std::string& why, Micros now, std::uint64_t random) {
+void Adopter::finish(End end, const std::string& why, Micros now, std::uint64_t random) {
   if (!job_) return;
   std::string of = label(mutant(Mutant::kTakenMeansWanted) ? text_ : job_->text);
   bool still = job_->text == text_;
   job_.reset();
-  if (end == End::kTaken) {
+  if (end == End::kAdopted) {
     has_ = of;
     refused_.clear();
     why_.clear();
@@ -143,8 +143,8 @@
   Json out{{"version", version_},
            {"has", has_},
            {"wants", version_ ? label(text_) : has_},
-           {"there", there()}};
-  if (!there()) out["why"] = why_.empty() ? "on its way" : why_;
+           {"there", at_target()}};
+  if (!at_target()) out["why"] = why_.empty() ? "on its way" : why_;
   if (!refused_.empty()) out["refused"] = refused_;
   return out;
 }
--- a/src/core/ledger/rollout.hpp
+++ b/src/core/ledger/rollout.hpp
@@ -27,10 +27,10 @@
 struct Plan {
   std::uint64_t number = 0;  ///< of the roll-out: one more with each that begins or is taken back
   unsigned share = 100;      ///< per cent of the routers, rounded up, that act on `next`
-  Text next, last;           ///< the rest act on `last`
-  std::uint64_t mark = 0;    ///< drawn by whoever wrote it, so that no two writings are alike
+  Text next, previous;       ///< the rest act on `last`
+  std::uint64_t nonce = 0;   ///< drawn by whoever wrote it, so that no two writings are alike
 
-  bool under_way() const { return share < 100; }
+  bool in_progress() const { return share < 100; }
   std::string bytes() const;
   static std::optional<Plan> parse(std::string_view bytes);
   bool operator==(const Plan&) const = default;
@@ -42,19 +42,19 @@
   std::string why;
 };
 /// Refused while another is under way, and of a text that all act on already.
-Proposal begin(const std::optional<Plan>& now, std::string text, unsigned share);
+Proposal start_rollout(const std::optional<Plan>& now, std::string text, unsigned share);
 /// To more routers; 100 ends the roll-out. Never to fewer: that is what back() is for.
 Proposal widen(const std::optional<Plan>& now, unsigned share);
 /// All routers go back to what they had before. Going back twice is going back once.
-Proposal back(const std::optional<Plan>& now);
+Proposal roll_back(const std::optional<Plan>& now);
 
 /// How many of so many routers are meant by a share.
 std::size_t part_of(unsigned share, std::size_t routers);
 /// Whether `name` is among the first of all `names`, its own among them. Whoever is stays so as the
 /// share grows; which ones they are differs from roll-out to roll-out.
-bool among_first(const Plan& plan, const std::string& name, const std::vector<std::string>& names);
-const Text& wanted(const Plan& plan, const std::string& name,
-                   const std::vector<std::string>& names);
+bool is_selected(const Plan& plan, const std::string& name, const std::vector<std::string>& names);
+const Text& target_text(const Plan& plan, const std::string& name,
+                        const std::vector<std::string>& names);
 
 /// One router on its way to what is wanted: one step at a time, each after the one before has
 /// ended. What it can't use it refuses once and stays where it is; what its disk did not take it
@@ -68,25 +68,25 @@
     Text text;
   };
   enum class End {
-    kTaken,
+    kAdopted,
     kRefused,  ///< the text can't be used here
     kFailed,   ///< it could not be written
   };
 
   /// `has`: the label of what the router acts on, as its files say. To be called at the start, and
   /// again whenever somebody may have changed them.
-  void found(std::string has);
+  void set_current(std::string has);
   /// As the newest view has it; a view never goes back. Another text than before is not begun with
   /// before `not_before`, so that not all routers take it over in one moment.
-  void want(std::uint64_t version, const Text& text, Micros not_before);
+  void set_target(std::uint64_t version, const Text& text, Micros not_before);
   /// What to do now; nothing while one is under way, or has just failed.
   std::optional<Job> next(Micros now);
   /// `random` spreads the tries of many routers: what fills one disk often fills many.
-  void ended(End end, const std::string& why, Micros now, std::uint64_t random);
+  void finish(End end, const std::string& why, Micros now, std::uint64_t random);
 
   const std::string& has() const { return has_; }
   bool busy() const { return job_.has_value(); }
-  bool there() const { return version_ == 0 || has_ == label(text_); }
+  bool at_target() const { return version_ == 0 || has_ == label(text_); }
   /// For people and tools: version, what is wanted and had, and why it is not there.
   Json report() const;
 
--- a/src/core/limit/limits.cpp
+++ b/src/core/limit/limits.cpp
@@ -45,9 +45,9 @@
     : set_(settings), bucket_(std::max(settings.rate, 1e-9), std::max(settings.burst, 1.0)) {}
 
 Limiter::Answer Limiter::admit(Micros now) {
-  if (set_.in_flight > 0 && in_flight_ >= set_.in_flight) return {false, set_.come_back, this};
+  if (set_.in_flight > 0 && in_flight_ >= set_.in_flight) return {false, set_.retry_after, this};
   if (set_.rate > 0 && !bucket_.take(now))
-    return {false, std::max(set_.come_back, bucket_.wait(now)), this};
+    return {false, std::max(set_.retry_after, bucket_.wait(now)), this};
   ++in_flight_;
   return {true};
 }
@@ -82,7 +82,7 @@
   step_ = std::max(step_, step);
 }
 
-void RetryBudget::on_first(Micros now) {
+void RetryBudget::on_first_attempt(Micros now) {
   move(now);
   ++first_[step_ % kSteps];
 }
--- a/src/core/limit/limits.hpp
+++ b/src/core/limit/limits.hpp
@@ -38,12 +38,12 @@
     double rate = 0;  ///< 0 = none
     double burst = 1;
     std::int64_t in_flight = 0;  ///< 0 = none
-    Micros come_back = 0;  ///< at least this is told with a refusal; 0 = only what the rate says
+    Micros retry_after = 0;  ///< at least this is told with a refusal; 0 = only what the rate says
   };
   explicit Limiter(const Settings& settings);
   struct Answer {
     bool admitted = false;
-    Micros come_back = 0;
+    Micros retry_after = 0;
     const Limiter* by = nullptr;  ///< who refused
   };
   /// Admits one request, which release() must end.
@@ -71,7 +71,7 @@
 class RetryBudget {
  public:
   RetryBudget(double part, double floor_per_s) : part_(part), floor_(floor_per_s) {}
-  void on_first(Micros now);
+  void on_first_attempt(Micros now);
   /// True and counted where another retry is within the budget.
   bool take(Micros now);
   /// While the pool fails the budget is held to `factor` (0 to 1) of itself.
--- a/src/core/limit/worth.cpp
+++ b/src/core/limit/load_shedding.cpp
@@ -1,4 +1,4 @@
-#include "worth.hpp"
+#include "load_shedding.hpp"
 
 #include <algorithm>
 
--- a/src/core/log/line.cpp
+++ b/src/core/log/line.cpp
@@ -77,8 +77,8 @@
 
 }  // namespace
 
-std::string write_line(Format format, Micros unix_time, Level level, std::string_view event,
-                       std::string_view text, std::initializer_list<Field> fields) {
+std::string format_line(Format format, Micros unix_time, Level level, std::string_view event,
+                        std::string_view text, std::initializer_list<Field> fields) {
   std::string line;
   if (format == Format::kText) {
     // Messages of the checker have several lines, and people read them as they are.
@@ -120,7 +120,7 @@
   return line + "\n";
 }
 
-bool RateBound::admit(Micros now, std::string_view event, std::uint64_t& left_out) {
+bool EventRateLimiter::admit(Micros now, std::string_view event, std::uint64_t& suppressed) {
   auto it = counts_.find(event);
   if (it == counts_.end() && counts_.size() >= kMostEvents) it = counts_.find("");
   if (it == counts_.end())
@@ -131,11 +131,11 @@
   Count& c = it->second;
   if (now - c.since >= kSpan) c.since = now, c.written = 0;
   if (c.written >= kMost) {
-    ++c.left_out;
+    ++c.suppressed;
     return false;
   }
   ++c.written;
-  left_out = std::exchange(c.left_out, 0);
+  suppressed = std::exchange(c.suppressed, 0);
   return true;
 }
 
--- a/src/core/log/line.hpp
+++ b/src/core/log/line.hpp
@@ -28,24 +28,24 @@
 /// its own, and the fields are left out; as logfmt and JSON it has time (RFC 3339, UTC), level,
 /// event, msg and the fields. Bytes from outside can't end the line or reach a terminal: control
 /// characters and what is no UTF-8 are escaped.
-std::string write_line(Format format, Micros unix_time, Level level, std::string_view event,
-                       std::string_view text, std::initializer_list<Field> fields);
+std::string format_line(Format format, Micros unix_time, Level level, std::string_view event,
+                        std::string_view text, std::initializer_list<Field> fields);
 
 /// Lines of one event that may be written in a span; what is left out is counted. Bounded: events
 /// that are not known when the table is full share one count.
-class RateBound {
+class EventRateLimiter {
  public:
   static constexpr std::uint64_t kMost = 20;
   static constexpr Micros kSpan = 10'000'000;
   static constexpr std::size_t kMostEvents = 64;
   /// Whether a line of `event` may be written at `now`, and how many were left out since the last
   /// one.
-  bool admit(Micros now, std::string_view event, std::uint64_t& left_out);
+  bool admit(Micros now, std::string_view event, std::uint64_t& suppressed);
 
  private:
   struct Count {
     Micros since = 0;
-    std::uint64_t written = 0, left_out = 0;
+    std::uint64_t written = 0, suppressed = 0;
   };
   std::map<std::string, Count, std::less<>> counts_;
 };
--- a/src/core/membership/start_times.cpp
+++ b/src/core/membership/start_times.cpp
@@ -17,14 +17,14 @@
 
 }  // namespace
 
-void StartTimes::heard(Micros now, Micros date) {
+void StartTimes::on_response(Micros now, Micros date) {
   heard_before_ = now_;
   now_ = now;
   if (date > 0) ahead_ = std::abs(date - now) > kClocksAgree ? date - now : 0;
 }
 
-Micros StartTimes::of(const std::string& id, Micros born) {
-  if (born == 0 || now_ == 0 || mutant(Mutant::kClockBelieved)) return born;
+Micros StartTimes::start_of(const std::string& id, Micros born) {
+  if (born == 0 || now_ == 0 || mutant(Mutant::kTrustServerClock)) return born;
   auto [at, fresh] = known_.try_emplace(id);
   Known& known = at->second;
   known.asked = true;
@@ -36,7 +36,7 @@
   return known.start;
 }
 
-void StartTimes::forget_unasked() {
+void StartTimes::forget_unused() {
   std::erase_if(known_, [](const auto& one) { return !one.second.asked; });
   for (auto& [id, known] : known_) known.asked = false;
 }
--- a/src/core/membership/start_times.hpp
+++ b/src/core/membership/start_times.hpp
@@ -16,12 +16,12 @@
  public:
   /// An answer of discovery came at `now`, with discovery's Unix time `date` in it; 0 where it told
   /// none. From here on starts are taken over; before, of() gives what it is told.
-  void heard(Micros now, Micros date);
+  void on_response(Micros now, Micros date);
   /// The start, by the router's clock, of the server that is listed with `born`; 0 for long ago.
   /// The same for the same two as long as it is asked for now and then.
-  Micros of(const std::string& id, Micros born);
+  Micros start_of(const std::string& id, Micros born);
   /// Lets go of servers that were not asked for since the call before.
-  void forget_unasked();
+  void forget_unused();
 
  private:
   struct Known {
--- a/src/core/membership/calls.cpp
+++ b/src/core/membership/watch_scheduler.cpp
@@ -1,4 +1,4 @@
-#include "calls.hpp"
+#include "watch_scheduler.hpp"
 
 #include <algorithm>
 #include <charconv>
@@ -44,16 +44,17 @@
   return *x < *y ? -1 : *x > *y;
 }
 
-Calls::Calls(Port& port, const Terms& terms, const std::string& held, std::uint64_t seed)
+WatchScheduler::WatchScheduler(Port& port, const WatchTiming& terms, const std::string& held,
+                               std::uint64_t seed)
     : port_(port), terms_(terms), held_(held), index_(held), rng_(seed) {}
 
-Micros Calls::drawn(Micros from, Micros to) {
+Micros WatchScheduler::drawn(Micros from, Micros to) {
   rng_ = rng_ * 6364136223846793005ULL + 1442695040888963407ULL;  // Knuth's MMIX generator
   double part = static_cast<double>(rng_ >> 40) / static_cast<double>(1 << 24);
   return from + static_cast<Micros>(part * static_cast<double>(to - from));
 }
 
-void Calls::open(Place place, Micros now, Micros wait) {
+void WatchScheduler::open(Place place, Micros now, Micros wait) {
   Call& call = calls_[place];
   if (index_.empty() || place == kFetch) wait = 0;
   // Nor are those that end in silence to be made up for together.
@@ -69,20 +70,20 @@
   call.renew = 0;
   if (wait > kAtOnce && terms_.renew_to > 0)
     call.renew = now + drawn(terms_.renew_from, terms_.renew_to);
-  if (index_.empty() && place != kFetch && !terms_.insists) call.renew = now + kDoubleWhole;
+  if (index_.empty() && place != kFetch && !terms_.always_retries) call.renew = now + kDoubleWhole;
   call.lists = lists_;
   ++made_;
   port_.start(place, place == kFetch ? std::string() : index_, wait);
 }
 
-void Calls::drop(Place place) {
+void WatchScheduler::cancel(Place place) {
   if (!calls_[place].out) return;
   calls_[place].out = false;
-  port_.drop(place);
+  port_.cancel(place);
 }
 
 /// Another call of the watch, beside those that are out.
-void Calls::begin(Micros now, Micros wait) {
+void WatchScheduler::begin(Micros now, Micros wait) {
   retry_at_ = 0;
   auto freer = [&](int a, int b) {
     return calls_[a].out != calls_[b].out ? !calls_[a].out
@@ -91,22 +92,22 @@
   newest_ = kWatch0;
   for (Place place : {kWatch1, kWatch2})
     if (freer(place, newest_)) newest_ = place;
-  drop(newest_);
+  cancel(newest_);
   open(newest_, now, wait);
 }
 
-void Calls::fetch(Micros now) {
+void WatchScheduler::fetch(Micros now) {
   fetch_failures_ = 0;
   ask_whole(now);
 }
 
-void Calls::ask_whole(Micros now) {
+void WatchScheduler::ask_whole(Micros now) {
   fetch_at_ = 0;
-  drop(kFetch);
+  cancel(kFetch);
   open(kFetch, now, 0);
 }
 
-void Calls::move(Micros now) {
+void WatchScheduler::change_address(Micros now) {
   stop();
   index_.clear();
   moved_ = true;
@@ -114,29 +115,29 @@
   watch(now);
 }
 
-void Calls::stop() {
-  for (int place = 0; place < kPlaces; ++place) drop(static_cast<Place>(place));
+void WatchScheduler::stop() {
+  for (int place = 0; place < kPlaces; ++place) cancel(static_cast<Place>(place));
   retry_at_ = fetch_at_ = 0;
 }
 
-Micros Calls::pause(int failures) {
+Micros WatchScheduler::pause(int failures) {
   Micros mean = std::min(terms_.pause << std::min(failures, kMostDoublings), terms_.pause_most);
   return drawn(mean / 2, mean + mean / 2);
 }
 
-void Calls::retry(Micros now) {
+void WatchScheduler::retry(Micros now) {
   retry_at_ = now + pause(failures_++);
-  if (terms_.insists && failures_ % kSlowAfter == 0 && !calls_[kFetch].out) fetch(now);
+  if (terms_.always_retries && failures_ % kSlowAfter == 0 && !calls_[kFetch].out) fetch(now);
 }
 
 /// The call has failed, or nothing came of it.
-void Calls::lost(Place place, Micros now) {
+void WatchScheduler::lost(Place place, Micros now) {
   calls_[place].out = false;
   if (place == kFetch) {
     if (++fetch_failures_ < kFetchTries) fetch_at_ = now + pause(fetch_failures_);
     return;
   }
-  if (place == newest_ && (terms_.insists || any_watch())) {
+  if (place == newest_ && (terms_.always_retries || any_watch())) {
     retry(now);
   } else if (calls_[newest_].out) {
     // What ended an older one may have silenced the newest as well, and from here what that misses
@@ -144,48 +145,48 @@
     if (calls_[newest_].wait > kAtOnce) watch(now);
   } else if (!any_watch()) {
     retry_at_ = 0;
-    port_.gave_up();
+    port_.on_watch_lost();
   }
 }
 
 /// Answers come out of order, and an old one must bring nobody back. Versions that are no numbers
 /// are compared by when their calls were made.
-Take Calls::judge(const Call& call, Micros now, const Answer& answer) {
+ListDecision WatchScheduler::judge(const Call& call, Micros now, const ListResponse& answer) {
   auto order = compare_versions(answer.version, held_);
   bool older = order ? *order < 0 : answer.whole && call.lists != lists_;
   if (!older) {
     older_ = 0;
     moved_ = false;
-    return Take::kYes;
+    return ListDecision::kApply;
   }
   // An answer that was overtaken by another; or discovery itself is behind.
-  if (!moved_ && (!order || call.lists != lists_)) return Take::kNo;
+  if (!moved_ && (!order || call.lists != lists_)) return ListDecision::kIgnore;
   if (!answer.whole) {
     index_.clear();  // the next call shows all of what it has
-    return Take::kNo;
+    return ListDecision::kIgnore;
   }
-  if (!moved_ && ++older_ < kOlderBelieved) return Take::kNo;
+  if (!moved_ && ++older_ < kOlderBelieved) return ListDecision::kIgnore;
   older_ = 0;
   moved_ = false;
   fetch_failures_ = 0;
   fetch_at_ = now + kConfirm;
-  return Take::kDoubted;
+  return ListDecision::kApplyUnconfirmed;
 }
 
-Take Calls::answered(Place place, Micros now, const Answer& answer) {
+ListDecision WatchScheduler::on_response(Place place, Micros now, const ListResponse& answer) {
   Call& call = calls_[place];
-  if (!std::exchange(call.out, false)) return Take::kNo;
+  if (!std::exchange(call.out, false)) return ListDecision::kIgnore;
   bool wanted = answer.list && (place != kFetch || answer.whole);
-  Take take = wanted ? judge(call, now, answer) : Take::kNo;
+  ListDecision take = wanted ? judge(call, now, answer) : ListDecision::kIgnore;
   // One that answers at once though nothing is new does not hold watches, and would be asked in a
   // busy loop.
   Micros wait = call.wait;
   bool idle = answer.version == held_ && call.lists == lists_ && wait > kAtOnce &&
               now - call.began < wait / 2;
-  if (take != Take::kNo) ++lists_;
+  if (take != ListDecision::kIgnore) ++lists_;
   // A list of which a part can't be used is not held as that version: it is asked for again.
-  if (take != Take::kNo && answer.sound) held_ = index_ = answer.version;
-  bool behind = wanted && take == Take::kNo &&
+  if (take != ListDecision::kIgnore && answer.sound) held_ = index_ = answer.version;
+  bool behind = wanted && take == ListDecision::kIgnore &&
                 compare_versions(answer.version, held_).has_value() && call.lists == lists_;
   if (!wanted || !answer.sound || behind) {
     lost(place, now);
@@ -198,7 +199,7 @@
   // What was out before may be silent, and has missed nothing that this one did not bring.
   if (at_once)
     for (Place other : {kWatch0, kWatch1, kWatch2})
-      if (calls_[other].out && calls_[other].began < call.began) drop(other);
+      if (calls_[other].out && calls_[other].began < call.began) cancel(other);
   bool later = place != newest_ && calls_[newest_].out;
   if (later && !(at_once && calls_[newest_].wait <= kAtOnce)) return take;  // the newest goes on
   // The next call at once: a watch with gaps is a new one.
@@ -208,17 +209,17 @@
   return take;
 }
 
-void Calls::due(Micros now) {
+void WatchScheduler::run_due(Micros now) {
   for (Place place : {kWatch0, kWatch1, kWatch2, kFetch}) {
     Call& call = calls_[place];
     if (!call.out || now < call.ends) continue;
-    if (call.wait > kAtOnce && !call.overdue && !terms_.insists) {
+    if (call.wait > kAtOnce && !call.overdue && !terms_.always_retries) {
       call.overdue = true;
       call.ends = now + kKeepOverdue;
       if (!calls_[newest_].out || calls_[newest_].wait > kAtOnce) watch(now);
       continue;
     }
-    drop(place);
+    cancel(place);
     lost(place, now);
   }
   if (calls_[newest_].out && calls_[newest_].renew > 0 && now >= calls_[newest_].renew) {
@@ -234,7 +235,7 @@
   if (fetch_at_ > 0 && now >= fetch_at_) ask_whole(now);
 }
 
-std::optional<Micros> Calls::next() const {
+std::optional<Micros> WatchScheduler::next_due() const {
   std::optional<Micros> first;
   auto at = [&](Micros time) {
     if (time > 0) first = first ? std::min(*first, time) : time;
--- a/src/core/membership/calls.hpp
+++ b/src/core/membership/watch_scheduler.hpp
@@ -14,7 +14,7 @@
 #include <optional>
 #include <string>
 
-#include "terms.hpp"
+#include "watch_timing.hpp"
 
 namespace violetusher::core::membership {
 
@@ -22,7 +22,7 @@
 std::optional<int> compare_versions(const std::string& a, const std::string& b);
 
 /// What an answer was.
-struct Answer {
+struct ListResponse {
   bool sound = false;  ///< a list, and all of its entries could be used
   bool list = false;   ///< a list, though some entries may not be usable
   std::string version;
@@ -30,15 +30,15 @@
 };
 
 /// What is to be done with an answer's list.
-enum class Take {
-  kNo,
-  kYes,
+enum class ListDecision {
+  kIgnore,
+  kApply,
   /// Discovery counts from anew, and may know less than what is held: whoever was told to leave
   /// stays so where the list says otherwise.
-  kDoubted,
+  kApplyUnconfirmed,
 };
 
-class Calls {
+class WatchScheduler {
  public:
   /// The places of a watch (one that ends, one that waits, one that brings what they missed), and
   /// the one of single fetches.
@@ -51,16 +51,16 @@
     /// may hold the call for `wait`.
     virtual void start(Place place, const std::string& version, Micros wait) = 0;
     /// The call is not wanted any more.
-    virtual void drop(Place place) = 0;
+    virtual void cancel(Place place) = 0;
     /// No watch is out and none will be made until watch(). Called last.
-    virtual void gave_up() = 0;
+    virtual void on_watch_lost() = 0;
   };
 
   /// `held`: the version of the list that the router starts with. `seed`: of what is drawn.
-  Calls(Port& port, const Terms& terms, const std::string& held, std::uint64_t seed);
+  WatchScheduler(Port& port, const WatchTiming& terms, const std::string& held, std::uint64_t seed);
 
   /// Other terms from now on; false where they are the same. Calls that are out keep theirs.
-  bool use(const Terms& terms) {
+  bool set_timing(const WatchTiming& terms) {
     if (terms == terms_) return false;
     terms_ = terms;
     return true;
@@ -72,23 +72,23 @@
   void fetch(Micros now);
   /// Discovery is at another address: begins there with the whole list. What the versions there
   /// mean is not known.
-  void move(Micros now);
+  void change_address(Micros now);
   void stop();
 
   /// A call has its answer; `answer.list` is false where it failed in any way.
-  Take answered(Place place, Micros now, const Answer& answer);
+  ListDecision on_response(Place place, Micros now, const ListResponse& answer);
   /// What is due is done. Call at next(), or later.
-  void due(Micros now);
+  void run_due(Micros now);
   /// When something is due; nothing where no call is out and none is to be made.
-  std::optional<Micros> next() const;
+  std::optional<Micros> next_due() const;
 
   /// When an answer last showed what the list is, or the start.
-  Micros heard_at() const { return heard_at_; }
-  void born(Micros now) { heard_at_ = now; }
+  Micros last_response_at() const { return heard_at_; }
+  void set_started(Micros now) { heard_at_ = now; }
   /// Of the list in use.
-  const std::string& held() const { return held_; }
+  const std::string& version() const { return held_; }
   /// Calls made since the start.
-  std::uint64_t made() const { return made_; }
+  std::uint64_t calls_made() const { return made_; }
 
  private:
   // The wait of the first call of a watch.
@@ -104,14 +104,14 @@
   void begin(Micros now, Micros wait);
   bool any_watch() const { return calls_[0].out || calls_[1].out || calls_[2].out; }
   void ask_whole(Micros now);
-  void drop(Place place);
+  void cancel(Place place);
   void lost(Place place, Micros now);
   Micros pause(int failures);
   void retry(Micros now);
-  Take judge(const Call& call, Micros now, const Answer& answer);
+  ListDecision judge(const Call& call, Micros now, const ListResponse& answer);
 
   Port& port_;
-  Terms terms_;
+  WatchTiming terms_;
   std::string held_;   // the version in use, whatever discovery it came from
   std::string index_;  // what a watch names; empty: the whole list is asked for
   std::array<Call, kPlaces> calls_;
--- a/src/core/membership/terms.cpp
+++ b/src/core/membership/watch_timing.cpp
@@ -1,4 +1,4 @@
-#include "terms.hpp"
+#include "watch_timing.hpp"
 
 #include <algorithm>
 
@@ -9,8 +9,8 @@
 
 }  // namespace
 
-Terms terms_asked() {
-  Terms t;
+WatchTiming polled_timing() {
+  WatchTiming t;
   t.wait = 30 * kSecond;
   // A watch whose wait is over is answered at once but for what is before it; what it missed counts
   // 2 s later, and a call that is answered at once has to fit in between.
@@ -31,17 +31,17 @@
   return t;
 }
 
-Terms terms_pushed(Micros drain_grace) {
+WatchTiming pushed_timing(Micros drain_grace) {
   // Of the grace six sixteenths in a watch, three for its answer, two before the next call, times
   // 1.5 at most: a quarter is left. Under 5 ms it would be a busy loop, beyond 2 s of grace nothing
   // is gained.
   Micros sixteenth = std::clamp(drain_grace / 16, 5 * kMillisecond, kSecond / 8);
-  Terms t;
+  WatchTiming t;
   t.wait = 6 * sixteenth;
   t.limit = t.limit_at_once = 3 * sixteenth;
   t.pause = 2 * sixteenth;
   t.pause_most = t.pause;
-  t.insists = true;
+  t.always_retries = true;
   return t;
 }
 
--- a/src/core/membership/terms.hpp
+++ b/src/core/membership/watch_timing.hpp
@@ -21,7 +21,7 @@
 };
 
 /// How one router calls.
-struct Terms {
+struct WatchTiming {
   Micros wait = 0;           ///< that discovery is asked to hold a watch for
   Micros limit = 0;          ///< a call that has no answer so long after its wait is given up
   Micros limit_at_once = 0;  ///< the same of one that does not wait
@@ -32,19 +32,19 @@
   /// a row up to pause_most.
   Micros pause = 0, pause_most = 0;
   /// Whether this is to go on after failures of itself; else the module says when to watch again.
-  bool insists = false;
+  bool always_retries = false;
 
-  bool operator==(const Terms&) const = default;
+  bool operator==(const WatchTiming&) const = default;
 };
 
 /// Where lists are asked for: discovery is one service for all routers, and each call costs it
 /// work, so there are few. `wait` is long and a watch is renewed well before what it may have
 /// missed counts as told.
-Terms terms_asked();
+WatchTiming polled_timing();
 
 /// Where lists are pushed: the address is an agent on the router's own machine, calls cost nothing,
 /// and what it has counts as told at once. So whatever becomes of one call, the next is made within
 /// `drain_grace`, the time for which a price cache that is told to leave may still be sent to.
-Terms terms_pushed(Micros drain_grace);
+WatchTiming pushed_timing(Micros drain_grace);
 
 }  // namespace violetusher::core::membership
--- a/src/core/mutants.hpp
+++ b/src/core/mutants.hpp
@@ -11,11 +11,11 @@
 namespace violetusher::core {
 
 enum class Mutant {
-  kYesBeforeDurable,    ///< a ban is said yes to before it is written
-  kFileOverMemory,      ///< the file of bans is the whole truth
-  kEvictAtAnyShortage,  ///< each accept that fails closes a resting client, unread
-  kReloadNotRetried,    ///< a file that can't be read counts as a broken one
-  kClockBelieved,       ///< starts of servers are taken by whatever clock told them
+  kAcknowledgeBeforeDurable,  ///< a ban is said yes to before it is written
+  kFileOverridesMemory,       ///< the file of bans is the whole truth
+  kEvictAtAnyShortage,        ///< each accept that fails closes a resting client, unread
+  kReloadNotRetried,          ///< a file that can't be read counts as a broken one
+  kTrustServerClock,          ///< starts of servers are taken by whatever clock told them
 };
 
 #ifdef VIOLETUSHER_MUTANTS
--- a/src/core/ops/figures.cpp
+++ b/src/core/ops/metrics.cpp
@@ -1,21 +1,21 @@
-#include "figures.hpp"
+#include "metrics.hpp"
 
 #include <nlohmann/json.hpp>
 
 namespace violetusher::core::ops {
 
-void Figures::add_class(const std::string& name) {
+void Metrics::add_class(const std::string& name) {
   if (classes_.size() < kMaxClasses) classes_.try_emplace(name);
 }
 
-void Figures::count(const std::string& name, End end) {
+void Metrics::count(const std::string& name, Outcome end) {
   auto it = classes_.find(name);
   if (it == classes_.end()) return;
   Counts& c = it->second;
-  ++(end == End::kSuccess ? c.success : end == End::kOverload ? c.overload : c.error);
+  ++(end == Outcome::kSuccess ? c.success : end == Outcome::kOverload ? c.overload : c.error);
 }
 
-std::string Figures::json(const Now& now) const {
+std::string Metrics::json(const Gauges& now) const {
   nlohmann::ordered_json all;
   auto by_class = [&](const char* name, std::uint64_t Counts::*figure) {
     auto& to = all[name] = nlohmann::ordered_json::object();
@@ -38,7 +38,7 @@
         to[name_of(static_cast<decltype(first)>(k))] = counts[k];
     };
     by_name("violations", now.guard->violations(), Invariant::kSentToWanted);
-    by_name("closes", now.guard->closes(), CloseReason::kClientGone);
+    by_name("closes", now.guard->closes(), CloseReason::kClientClosed);
   }
   return all.dump(-1, ' ', true, nlohmann::ordered_json::error_handler_t::replace);
 }
--- a/src/core/ops/call.cpp
+++ b/src/core/ops/operator_command.cpp
@@ -1,4 +1,4 @@
-#include "call.hpp"
+#include "operator_command.hpp"
 
 #include <algorithm>
 #include <cctype>
@@ -20,7 +20,7 @@
          std::all_of(id.begin(), id.end(), [](unsigned char c) { return c > 32 && c < 127; });
 }
 
-std::optional<Call> parse_call(std::string_view line, std::string& error) {
+std::optional<OperatorCommand> parse_command(std::string_view line, std::string& error) {
   std::string_view rest = line;
   std::string verb(next_word(rest));
   std::transform(verb.begin(), verb.end(), verb.begin(),
@@ -30,13 +30,13 @@
     error = "more words than a call has";
     return std::nullopt;
   }
-  Call call;
+  OperatorCommand call;
   if (verb == "HEALTH" || verb == "DUMP") {
-    call.kind = verb == "DUMP" ? Call::Kind::kDump : Call::Kind::kHealth;
+    call.kind = verb == "DUMP" ? OperatorCommand::Kind::kDump : OperatorCommand::Kind::kHealth;
     if (id.empty()) return call;
     error = verb + " takes no id";
   } else if (verb == "OFFLINE" || verb == "ONLINE") {
-    call.kind = verb == "ONLINE" ? Call::Kind::kOnline : Call::Kind::kOffline;
+    call.kind = verb == "ONLINE" ? OperatorCommand::Kind::kOnline : OperatorCommand::Kind::kOffline;
     call.id = id;
     if (good_id(id)) return call;
     error = verb + " needs the id of a cache server";
--- a/src/core/ops/retune.cpp
+++ b/src/core/ops/settings_update.cpp
@@ -1,4 +1,4 @@
-#include "retune.hpp"
+#include "settings_update.hpp"
 
 #include <algorithm>
 #include <map>
@@ -60,7 +60,7 @@
   return {};
 }
 
-std::string why_unfit(const Settings& settings) {
+std::string settings_error(const Settings& settings) {
   if (settings.classes.empty()) return "no classes";
   std::set<std::string> names;
   for (const ClassSettings& c : settings.classes) {
@@ -79,7 +79,7 @@
   return {};
 }
 
-Settings both_bind(const Settings& from, const Settings& to) {
+Settings strictest_of(const Settings& from, const Settings& to) {
   Settings both = to;
   both.max_attempts = std::min(from.max_attempts, to.max_attempts);
   for (const ClassSettings& old : from.classes) {
--- a/src/core/route/traffic.cpp
+++ b/src/core/route/traffic_policy.cpp
@@ -1,4 +1,4 @@
-#include "traffic.hpp"
+#include "traffic_policy.hpp"
 
 #include <algorithm>
 
@@ -7,12 +7,12 @@
 
 Limiter::Settings settings_of(const config::Limit& l) {
   return {l.rate, static_cast<double>(std::max<std::int64_t>(l.burst, 1)), l.in_flight,
-          l.come_back};
+          l.retry_after};
 }
 
 }  // namespace
 
-Traffic::Traffic(config::Model model, const Traffic* before)
+TrafficPolicy::TrafficPolicy(config::Model model, const TrafficPolicy* before)
     : model_(std::move(model)), routing_(model_) {
   // Each user of a limit counts for itself.
   auto limiter = [&](User kind, const std::string& user, const std::string& limit) {
@@ -62,7 +62,7 @@
       }
     }
     fallbacks_[name] =
-        std::make_shared<Fallback>(Fallback::Settings{r.fall_over_at, r.fall_back_at, r.spill});
+        std::make_shared<Fallback>(Fallback::Settings{r.failover_at, r.failback_at, r.spill});
   }
   for (const auto& [name, p] : model_.pools) {
     limiter(kPool, name, p.limit);
@@ -90,14 +90,14 @@
 }
 
 template <typename T>
-const std::string* Traffic::name_in(const std::map<std::string, T>& map,
-                                    const std::string& name) const {
+const std::string* TrafficPolicy::name_in(const std::map<std::string, T>& map,
+                                          const std::string& name) const {
   auto it = map.find(name);
   return it == map.end() ? nullptr : &it->first;
 }
 
 /// Looks up once all that the request's life will touch; no allocation but for a long tenant.
-void Traffic::find_holdings(const RouteRequest& request, Ticket& t) {
+void TrafficPolicy::find_holdings(const RouteRequest& request, Ticket& t) {
   const std::string_view users[] = {request.tenant, request.type, *t.route, *t.pool};
   for (std::size_t kind = 0; kind < kUsers; ++kind)
     if (auto it = limiters_[kind].find(users[kind]); it != limiters_[kind].end())
@@ -111,8 +111,8 @@
       t.budgets = &it->second;
 }
 
-Traffic::Decision Traffic::admit(Micros now, const RouteRequest& request, bool keyed,
-                                 const PoolState& pools) {
+TrafficPolicy::Decision TrafficPolicy::admit(Micros now, const RouteRequest& request, bool keyed,
+                                             const PoolState& pools) {
   Decision d;
   d.ticket.route = routing_.find(request);
   if (!d.ticket.route) return d;
@@ -125,7 +125,7 @@
     const std::string* to = nullptr;
     for (const std::string& f : route.fallbacks)
       if (!to && pools.has_live(f) &&
-          (!keyed || (pools.shares_repeats(f) && pools.shares_repeats(route.pool))))
+          (!keyed || (pools.shares_deduplication(f) && pools.shares_deduplication(route.pool))))
         to = name_in(model_.pools, f);
     if (it->second->cross(now, pools.has_live(route.pool), to != nullptr)) {
       d.ticket.pool = to;
@@ -135,17 +135,17 @@
   find_holdings(request, d.ticket);
   Limiter::Answer answer = admit_by_worth(now, request, d.ticket);
   d.admitted = d.ticket.holds = answer.admitted;
-  d.come_back = answer.come_back;
+  d.retry_after = answer.retry_after;
   return d;
 }
 
 /// Asks the limits and the shares, unless the request must give way to worthier ones.
-Limiter::Answer Traffic::admit_by_worth(Micros now, const RouteRequest& request,
-                                        const Ticket& ticket) {
+Limiter::Answer TrafficPolicy::admit_by_worth(Micros now, const RouteRequest& request,
+                                              const Ticket& ticket) {
   auto it = worth_.find(*ticket.pool);
   WorthOrder* worth = it == worth_.end() ? nullptr : it->second.get();
   if (worth && !worth->may_ask(now, request.type))
-    return {false, model_.limits.at(model_.pools.at(*ticket.pool).limit).come_back};
+    return {false, model_.limits.at(model_.pools.at(*ticket.pool).limit).retry_after};
   Limiter::Answer answer = admit_all(now, ticket.limiters_held());
   // A limit of its own, of a tenant, class or route, says nothing of the pool.
   bool by_pool = false;
@@ -153,14 +153,14 @@
     by_pool = !answer.admitted && answer.by == pool->second.get();
   if (answer.admitted && ticket.shares && !ticket.shares->admit(now, ticket.tenant)) {
     for (Limiter* l : ticket.limiters_held()) l->undo();
-    answer = {false, shares_.find(*ticket.pool)->second.first.come_back};
+    answer = {false, shares_.find(*ticket.pool)->second.first.retry_after};
     by_pool = true;
   }
   if (worth && (answer.admitted || by_pool)) worth->on_answer(now, request.type, answer.admitted);
   return answer;
 }
 
-void Traffic::on_attempt_end(Micros now, const Ticket& ticket, bool failed) {
+void TrafficPolicy::on_attempt_end(Micros now, const Ticket& ticket, bool failed) {
   Budgets* b = ticket.budgets;
   if (!b) return;
   b->trouble->on_end(now, failed);
@@ -169,7 +169,7 @@
   b->hedges->tighten(factor);
 }
 
-void Traffic::end(Micros now, Ticket& ticket, bool refused) {
+void TrafficPolicy::end(Micros now, Ticket& ticket, bool refused) {
   if (!ticket.holds) return;
   ticket.holds = false;
   for (Limiter* l : ticket.limiters_held()) l->release();
@@ -177,13 +177,13 @@
   if (ticket.fallback && !ticket.crossed) ticket.fallback->on_end(now, refused);
 }
 
-void Traffic::on_first(Micros now, const Ticket& ticket) {
+void TrafficPolicy::on_first_attempt(Micros now, const Ticket& ticket) {
   if (!ticket.budgets) return;
-  ticket.budgets->retries->on_first(now);
-  ticket.budgets->hedges->on_first(now);
+  ticket.budgets->retries->on_first_attempt(now);
+  ticket.budgets->hedges->on_first_attempt(now);
 }
 
-bool Traffic::may_retry(Micros now, const Ticket& ticket, bool hedge) {
+bool TrafficPolicy::may_retry(Micros now, const Ticket& ticket, bool hedge) {
   const Budgets* b = ticket.budgets;
   return !b || (hedge ? b->hedges : b->retries)->take(now);
 }
@@ -212,7 +212,7 @@
   auto among = [](const auto& list, const auto& value) {
     return list.empty() || std::find(list.begin(), list.end(), value) != list.end();
   };
-  return pool.servers.empty() && among(pool.halls, server.zone) && among(pool.kinds, server.kind) &&
+  return pool.servers.empty() && among(pool.zones, server.zone) && among(pool.kinds, server.kind) &&
          among(pool.blocks, server.cell) &&
          (pool.hosts.empty() ||
           std::any_of(pool.hosts.begin(), pool.hosts.end(),
--- a/src/core/route/traffic.hpp
+++ b/src/core/route/traffic_policy.hpp
@@ -14,14 +14,14 @@
 #include "core/config/diff.hpp"
 #include "core/config/model.hpp"
 #include "core/limit/limits.hpp"
-#include "core/limit/worth.hpp"
+#include "core/limit/load_shedding.hpp"
 
 namespace violetusher::core {
 
-class Traffic {
+class TrafficPolicy {
  public:
   /// `before` may be null. The model must have passed its checks.
-  Traffic(config::Model model, const Traffic* before);
+  TrafficPolicy(config::Model model, const TrafficPolicy* before);
 
   struct Budgets {
     config::Budget set;
@@ -45,7 +45,7 @@
   };
   struct Decision {
     bool admitted = false;
-    Micros come_back = 0;  ///< where it is refused; 0 = not known
+    Micros retry_after = 0;  ///< where it is refused; 0 = not known
     Ticket ticket;
   };
   /// Asked of a pool by its name: whether it has a live server, and whether a keyed request may go
@@ -53,13 +53,13 @@
   struct PoolState {
     virtual ~PoolState() = default;
     virtual bool has_live(const std::string& pool) const = 0;
-    virtual bool shares_repeats(const std::string& pool) const = 0;
+    virtual bool shares_deduplication(const std::string& pool) const = 0;
   };
   Decision admit(Micros now, const RouteRequest& request, bool keyed, const PoolState& pools);
   /// The request has ended, `refused` by its pool or not. Call once for each admitted one.
   void end(Micros now, Ticket& ticket, bool refused);
   /// A first try of a pool was sent.
-  void on_first(Micros now, const Ticket& ticket);
+  void on_first_attempt(Micros now, const Ticket& ticket);
   /// An attempt has ended, `failed` in a way that tells of its server or of load. Budgets of a pool
   /// that fails are tightened.
   void on_attempt_end(Micros now, const Ticket& ticket, bool failed);
--- a/src/daemon/audit/trail_files.cpp
+++ b/src/daemon/audit/trail_files.cpp
@@ -123,12 +123,12 @@
   wake_.notify_all();
 }
 
-std::string TrailFiles::last() {
+std::string TrailFiles::last_position() {
   std::lock_guard guard(mutex_);
   return on_disk_.number ? core::audit::text_of(on_disk_) : std::string();
 }
 
-bool TrailFiles::gap_since_asked() {
+bool TrailFiles::consume_gap() {
   std::lock_guard guard(mutex_);
   // Once there is room again: what is said while there is none is lost as well.
   return queued_ < kMostPending / 2 && std::exchange(gap_, false);
@@ -176,7 +176,7 @@
     auto bytes = static_cast<std::int64_t>(batch.front().size());
     wrong = open(bytes);
     if (!wrong.empty()) break;
-    core::audit::Mark next = last_;
+    core::audit::TrailPosition next = last_;
     wrong = append(line_of(next, batch.front()));
     if (!wrong.empty()) break;
     last_ = next;
@@ -197,7 +197,7 @@
   auto all = files_in(settings_.folder, error);
   if (error) return settings_.folder + ": " + error.message();
   for (auto at = all.rbegin(); at != all.rend(); ++at) {
-    std::optional<core::audit::Mark> mark;
+    std::optional<core::audit::TrailPosition> mark;
     try {
       mark = core::audit::end_of(text_of(at->path));
     } catch (const fs::filesystem_error& e) {
@@ -233,7 +233,7 @@
     known_ = true;
   }
   make_room();
-  core::audit::Mark next = last_;
+  core::audit::TrailPosition next = last_;
   std::string line = line_of(next, head_of(settings_.router, last_,
                                            !started_          ? "start"
                                            : failing_.empty() ? "size"
--- a/src/daemon/audit/trail_files.hpp
+++ b/src/daemon/audit/trail_files.hpp
@@ -12,7 +12,7 @@
 #include <thread>
 #include <vector>
 
-#include "core/audit/account.hpp"
+#include "core/audit/activity_recorder.hpp"
 #include "core/audit/trail.hpp"
 #include "net/system_io.hpp"
 
@@ -50,9 +50,9 @@
   void write(std::string body);
   /// The last block on disk: its number and sum, as `trail check` writes them; empty before the
   /// first.
-  std::string last();
+  std::string last_position();
   /// Whether a reader of what comes now may have missed what came before; asked for once.
-  bool gap_since_asked();
+  bool consume_gap();
 
  private:
   void run();
@@ -67,7 +67,7 @@
   std::function<void(const std::string&)> note_;
   // Of the writer's thread.
   net::Fd lock_, file_;
-  core::audit::Mark last_;
+  core::audit::TrailPosition last_;
   std::int64_t written_ = 0;  // to the file
   bool known_ = false;        // where the trail ended before
   bool started_ = false;      // this process has begun a file
@@ -79,7 +79,7 @@
   std::size_t queued_ = 0;  // bytes
   std::uint64_t lost_ = 0;  // blocks, between the two times
   Micros lost_from_ = 0, lost_to_ = 0;
-  core::audit::Mark on_disk_;
+  core::audit::TrailPosition on_disk_;
   bool gap_ = false, stopping_ = false;
   std::thread thread_;
 };
--- a/src/daemon/ledger/node.cpp
+++ b/src/daemon/ledger/node.cpp
@@ -46,11 +46,11 @@
 
 }  // namespace
 
-Node::Node(Storage& storage, const NodeSettings& settings, Outside& outside)
+Node::Node(Storage& storage, const NodeSettings& settings, Environment& outside)
     : storage_(storage),
       settings_(settings),
       outside_(outside),
-      witnesses_(settings.name, settings.hall, settings.peers, settings.witnesses),
+      witnesses_(settings.name, settings.zone, settings.peers, settings.witnesses),
       caller_(outside.random() | 1),
       next_id_(outside.random() | 1) {
   last_tick_ = outside_.now();
@@ -64,30 +64,30 @@
 void Node::open() {
   Image image;
   std::string error;
-  Loaded loaded = storage_.load(image, error);
-  open_ = loaded == Loaded::kGood;
-  if (loaded == Loaded::kUnreadable) {
+  LoadResult loaded = storage_.load(image, error);
+  open_ = loaded == LoadResult::kOk;
+  if (loaded == LoadResult::kUnreadable) {
     reopen_ = outside_.now() + kReopen;
-    outside_.note("ledger-disk-failed",
-                  "the ledger's files can't be read: " + error + "; tried again");
+    outside_.log_event("ledger-disk-failed",
+                       "the ledger's files can't be read: " + error + "; tried again");
     return;
   }
   if (!open_) {
-    outside_.note("ledger-disk-spoilt", "the ledger's files can't be trusted: " + error +
-                                            "; they are put aside, their identity goes");
+    outside_.log_event("ledger-disk-spoilt", "the ledger's files can't be trusted: " + error +
+                                                 "; they are put aside, their identity goes");
     return begin_anew("spoilt");
   }
   std::string print = storage_.fingerprint();
   if (print.empty()) {  // it could not be asked for, which says nothing of the files
     open_ = false;
     reopen_ = outside_.now() + kReopen;
-    outside_.note("ledger-disk-failed", "the ledger's files can't be looked at; tried again");
+    outside_.log_event("ledger-disk-failed", "the ledger's files can't be looked at; tried again");
     return;
   }
   if (image.meta.identity != 0 && image.meta.fingerprint != print &&
       !mutant(Mutant::kOldDiskTrusted)) {
-    outside_.note("ledger-disk-put-back",
-                  "the ledger's files are a copy that was put back; their identity goes");
+    outside_.log_event("ledger-disk-put-back",
+                       "the ledger's files are a copy that was put back; their identity goes");
     return begin_anew("put back");
   }
   meta_ = image.meta;
@@ -97,7 +97,7 @@
   open_ = keep_meta();
   if (!open_) {
     reopen_ = outside_.now() + kReopen;
-    outside_.note("ledger-disk-failed", "the ledger's files can't be written; tried again");
+    outside_.log_event("ledger-disk-failed", "the ledger's files can't be written; tried again");
     return;
   }
   image.meta = meta_;
@@ -113,16 +113,16 @@
 void Node::begin_anew(const std::string& why) {
   drop_keeper();
   Meta before = meta_;
-  if (!storage_.set_aside()) {
+  if (!storage_.quarantine()) {
     // It must not go on as who it was, and can't be anyone else.
     open_ = false;
     reopen_ = outside_.now() + 5 * kSecond;
-    outside_.note("ledger-disk-failed", "the ledger's files can't be put aside; tried again");
+    outside_.log_event("ledger-disk-failed", "the ledger's files can't be put aside; tried again");
     return;
   }
   Image image;
   std::string error;
-  open_ = storage_.load(image, error) == Loaded::kGood;
+  open_ = storage_.load(image, error) == LoadResult::kOk;
   meta_ = Meta();
   meta_.group = before.group;
   meta_.epoch = before.epoch;
@@ -135,7 +135,7 @@
   if (view_.position().at > 0) more.push_back(Op::view(view_.state().snapshot()));
   open_ = open_ && !meta_.fingerprint.empty() && keep_meta(std::move(more));
   if (!open_) reopen_ = outside_.now() + kReopen;
-  outside_.note("ledger-new-identity", "ledger: begins anew (" + why + ")");
+  outside_.log_event("ledger-new-identity", "ledger: begins anew (" + why + ")");
 }
 
 bool Node::keep_meta(std::vector<Op> more) {
@@ -144,14 +144,14 @@
 }
 
 void Node::open_keeper(Image&& image) {
-  RaftPort::Outside raft;
+  RaftPort::Environment raft;
   raft.now = [this] { return outside_.now(); };
   raft.random = [this] { return outside_.random(); };
   raft.send = [this](std::uint64_t to, const std::string& address, Json&& message) {
     send(name_in(address), "raft", message, to);
   };
-  keeper_ = std::make_unique<Keeper>(storage_, std::move(image), settings_.name, settings_.pace,
-                                     settings_.keepers, settings_.peers.size(), std::move(raft));
+  keeper_ = std::make_unique<Voter>(storage_, std::move(image), settings_.name, settings_.timing,
+                                    settings_.voters, settings_.peers.size(), std::move(raft));
 }
 
 void Node::drop_keeper() {
@@ -172,7 +172,7 @@
                    {"b", meta_.boot},
                    {"r", to},
                    {"s", static_cast<std::uint64_t>(std::max<Micros>(storage_.mean(), 0))},
-                   {"m", (keeper_ ? keeper_->mark() : Mark()).json()},
+                   {"m", (keeper_ ? keeper_->log_position() : LogPosition()).json()},
                    {"k", kind},
                    {"d", body}});
 }
@@ -206,7 +206,7 @@
           link,
           {},
           {}};
-  if (v->contains("m")) f.mark = Mark::parse((*v)["m"]);
+  if (v->contains("m")) f.mark = LogPosition::parse((*v)["m"]);
   if (v->contains("d")) f.body = std::move((*v)["d"]);
   if (!f.body.is_object() && f.kind != "raft") return {};
   return f;
@@ -228,7 +228,7 @@
     return false;
   }
   if (f.epoch > meta_.epoch) {
-    outside_.note("ledger-epoch", "the ledger's epoch is now " + std::to_string(f.epoch));
+    outside_.log_event("ledger-epoch", "the ledger's epoch is now " + std::to_string(f.epoch));
     meta_.epoch = f.epoch;
     if (meta_.keeper)
       begin_anew("the group was rescued without this one");
@@ -283,7 +283,7 @@
 void Node::on_raft(const Frame& f) {
   if (f.to != meta_.identity) return;
   if (!keeper_) {
-    if (!settings_.keep || meta_.keeper) return;
+    if (!settings_.may_vote || meta_.keeper) return;
     meta_.keeper = true;
     if (!keep_meta()) {
       meta_.keeper = false;
@@ -291,7 +291,7 @@
     }
     Image image;
     image.meta = meta_;
-    outside_.note("ledger-keeps", settings_.name + " is made a keeper");
+    outside_.log_event("ledger-keeps", settings_.name + " is made a keeper");
     open_keeper(std::move(image));
     keeper_->vouch();  // its identity is new, and has promised nothing
   }
@@ -309,7 +309,7 @@
     for (std::uint64_t id : known.identities) voters.push_back(id);
   }
   answer(f, "mark",
-         {{"own", (keeper_ ? keeper_->mark() : Mark()).json()},
+         {{"own", (keeper_ ? keeper_->log_position() : LogPosition()).json()},
           {"yours", known_[f.identity].mark.json()},
           {"at", index},
           {"voters", voters},
@@ -318,8 +318,9 @@
 
 void Node::on_mark(const Frame& f) {
   if (!keeper_ || !f.body.contains("own") || !f.body.contains("yours")) return;
-  core::ledger::Probation::Answer a{
-      Mark::parse(f.body["own"]), Mark::parse(f.body["yours"]), {number(f.body, "at"), {}}};
+  core::ledger::Probation::Answer a{LogPosition::parse(f.body["own"]),
+                                    LogPosition::parse(f.body["yours"]),
+                                    {number(f.body, "at"), {}}};
   if (f.body.contains("voters") && f.body["voters"].is_array())
     for (const Json& id : f.body["voters"])
       if (id.is_number_unsigned()) a.voters.identities.insert(id.get<std::uint64_t>());
@@ -328,7 +329,7 @@
 }
 
 void Node::on_hello(const Frame& f) {
-  if (!keeper_ || !keeper_->leads()) return answer(f, "hint", {{"leader", leader()}});
+  if (!keeper_ || !keeper_->is_leader()) return answer(f, "hint", {{"leader", leader()}});
   auto members = keeper_->members();
   bool member = std::any_of(members.begin(), members.end(),
                             [&](const RaftMember& m) { return m.identity == f.identity; });
@@ -347,7 +348,7 @@
   auto call = f.body.contains("call") ? Call::parse(f.body["call"]) : std::nullopt;
   std::uint64_t id = number(f.body, "id");
   if (!call) return;
-  if (!keeper_ || (!keeper_->leads() && !mutant(Mutant::kReadsOwnState)))
+  if (!keeper_ || (!keeper_->is_leader() && !mutant(Mutant::kReadsOwnState)))
     return answer(f, "hint", {{"leader", leader()}});
   std::string name = f.name;
   keeper_->submit(*call, [this, name, id](std::optional<Outcome> outcome) {
@@ -380,7 +381,7 @@
   }
   Image image;
   std::string error;
-  if (storage_.load(image, error) != Loaded::kGood) return {{"error", error}};
+  if (storage_.load(image, error) != LoadResult::kOk) return {{"error", error}};
   open_keeper(std::move(image));
   keeper_->vouch();
   return {{"group", meta_.group}};
@@ -399,7 +400,7 @@
     if (f.body.contains("names") && f.body["names"].is_array())
       for (const Json& n : f.body["names"])
         if (n.is_string()) names.push_back(n);
-    if (!keeper_ || !keeper_->leads()) return answer(f, "hint", {{"leader", leader()}});
+    if (!keeper_ || !keeper_->is_leader()) return answer(f, "hint", {{"leader", leader()}});
     return answer(f, "may-stop", {{"may", core::ledger::may_stop(members(), names)}});
   }
   if (f.kind == "move") return answer(f, "move", move(f.body));
@@ -445,10 +446,10 @@
   if (!open_) stage = "disk-failed";
   if (keeper_) {
     constexpr const char* kStages[] = {"asks", "keeps", "old-disk", "disk-failed", "opens-again"};
-    stage = keeper_->leads() ? "leads" : kStages[static_cast<int>(keeper_->stage())];
+    stage = keeper_->is_leader() ? "leads" : kStages[static_cast<int>(keeper_->stage())];
   }
   Json out{{"name", settings_.name},
-           {"hall", settings_.hall},
+           {"hall", settings_.zone},
            {"stage", stage},
            {"identity", std::to_string(meta_.identity)},
            {"group", std::to_string(meta_.group)},
@@ -464,9 +465,9 @@
   out.update(told_);
   if (settings_.witnesses > 0) out["witness"] = witnesses_.held(outside_.now());
   if (keeper_) {
-    const Mark& m = keeper_->mark();
+    const LogPosition& m = keeper_->log_position();
     out["log"] = {{"term", m.term}, {"last", m.last_index}};
-    if (keeper_->stage() == Keeper::Stage::kAsking)
+    if (keeper_->stage() == Voter::Stage::kAsking)
       out["asks"] = {{"answered", keeper_->probation().answered()},
                      {"needed", keeper_->probation().needed()}};
   }
@@ -476,7 +477,7 @@
 // ---- the view ----
 
 bool Node::settled() const {
-  return keeper_ && keeper_->stage() == Keeper::Stage::kRunning && keeper_->heard_leader() != 0 &&
+  return keeper_ && keeper_->stage() == Voter::Stage::kRunning && keeper_->heard_leader() != 0 &&
          outside_.now() - keeper_->heard_leader() < kQuiet;
 }
 
@@ -486,7 +487,7 @@
 
 /// A keeper's own log comes before what others feed it.
 void Node::take_view() {
-  if (!keeper_ || keeper_->stage() != Keeper::Stage::kRunning) return;
+  if (!keeper_ || keeper_->stage() != Voter::Stage::kRunning) return;
   const View& own = keeper_->view();
   if (view_.position().before(own.position())) show(own.since(view_.position()));
   if (settled() && !own.position().before(view_.position()))
@@ -501,8 +502,8 @@
   if (taken == View::Taken::kUnfit) whole_ = true;
   if (taken != View::Taken::kNewer) return false;
   if (!storage_.commit({Op::view(next.state().snapshot())})) {
-    outside_.note("ledger-disk-failed",
-                  "the ledger's files take no more; this router stays at what it has");
+    outside_.log_event("ledger-disk-failed",
+                       "the ledger's files take no more; this router stays at what it has");
     return false;
   }
   view_ = std::move(next);
@@ -538,7 +539,7 @@
 
 void Node::on_feed(const Frame& f) {
   std::string said = text(f.body, "leader");
-  if (!said.empty() && !(keeper_ && keeper_->leads())) leader_ = said;
+  if (!said.empty() && !(keeper_ && keeper_->is_leader())) leader_ = said;
   if (f.name != parent_) return;
   if (f.body.contains("full")) {
     // One of those that it feeds has room, or knows who has.
@@ -610,7 +611,7 @@
 }
 
 std::string Node::leader() {
-  if (keeper_ && keeper_->stage() == Keeper::Stage::kRunning) {
+  if (keeper_ && keeper_->stage() == Voter::Stage::kRunning) {
     std::string own = keeper_->leader();
     if (!own.empty()) return own;
   }
@@ -618,7 +619,7 @@
 }
 
 std::string Node::hall_of(const std::string& name) const {
-  if (name == settings_.name) return settings_.hall;
+  if (name == settings_.name) return settings_.zone;
   auto it = settings_.peers.find(name);
   return it == settings_.peers.end() ? std::string() : it->second;
 }
@@ -640,14 +641,15 @@
   }
   if (keeper_) {
     keeper_->tick();
-    if (keeper_->stage() == Keeper::Stage::kOldDisk) {
+    if (keeper_->stage() == Voter::Stage::kOldDisk) {
       begin_anew("an old disk");
-    } else if (keeper_->stage() == Keeper::Stage::kAgain) {
-      outside_.note("ledger-again", "the ledger's members of a lost leader are dropped");
+    } else if (keeper_->stage() == Voter::Stage::kAgain) {
+      outside_.log_event("ledger-again", "the ledger's members of a lost leader are dropped");
       drop_keeper();
       open();
-    } else if (keeper_->stage() == Keeper::Stage::kFailed) {
-      outside_.note("ledger-disk-failed", "the ledger's files failed; opened again in a second");
+    } else if (keeper_->stage() == Voter::Stage::kFailed) {
+      outside_.log_event("ledger-disk-failed",
+                         "the ledger's files failed; opened again in a second");
       drop_keeper();
       open_ = false;
       reopen_ = now + kReopen;
@@ -666,7 +668,7 @@
 
 void Node::ask() {
   Micros now = outside_.now();
-  if (keeper_ && keeper_->stage() == Keeper::Stage::kAsking && now >= next_ask_) {
+  if (keeper_ && keeper_->stage() == Voter::Stage::kAsking && now >= next_ask_) {
     next_ask_ = now + kAskEvery;
     std::set<std::string> whom{leader()};
     for (const RaftMember& m : keeper_->members()) whom.insert(name_in(m.address));
@@ -674,7 +676,7 @@
     for (std::size_t i = 0; i < kAskMore; ++i) whom.insert(any_peer());
     for (const std::string& name : whom) send(name, "ask", Json::object());
   }
-  if (!settings_.keep || now < next_hello_ || meta_.group == 0) return;
+  if (!settings_.may_vote || now < next_hello_ || meta_.group == 0) return;
   next_hello_ = now + kHelloEvery + static_cast<Micros>(outside_.random() % kHelloEvery);
   if (settled() && keeper_->votes()) return;
   std::string to = leader();
@@ -697,7 +699,7 @@
 
 void Node::heal() {
   Micros now = outside_.now();
-  if (!keeper_ || !keeper_->leads()) {
+  if (!keeper_ || !keeper_->is_leader()) {
     leading_since_ = 0;
     return;
   }
@@ -729,12 +731,13 @@
     ++it;
   }
   if (auto step =
-          core::ledger::next_step(meta_.identity, settings_.keepers, all, candidates, move_)) {
-    outside_.note("ledger-members",
-                  std::string(step->kind == core::ledger::Step::Kind::kAdd      ? "adds "
-                              : step->kind == core::ledger::Step::Kind::kRemove ? "removes "
-                                                                                : "promotes ") +
-                      step->name + "#" + std::to_string(step->identity));
+          core::ledger::next_step(meta_.identity, settings_.voters, all, candidates, move_)) {
+    outside_.log_event(
+        "ledger-members",
+        std::string(step->kind == core::ledger::Step::Kind::kAdd      ? "adds "
+                    : step->kind == core::ledger::Step::Kind::kRemove ? "removes "
+                                                                      : "promotes ") +
+            step->name + "#" + std::to_string(step->identity));
     keeper_->take_step(*step);
     if (step->kind == core::ledger::Step::Kind::kAdd) hellos_.erase(step->name);
   }
@@ -753,15 +756,16 @@
     if (m.identity == meta_.identity || m.role != RAFT_VOTER || known == known_.end()) continue;
     const Known& k = known->second;
     if (now - k.heard > kSilent || k.disk >= best ||
-        k.mark.last_index + kNearly < keeper_->mark().last_index)
+        k.mark.last_index + kNearly < keeper_->log_position().last_index)
       continue;
     to = m.identity;
     best = k.disk;
   }
   if (to == 0) return false;
   gave_way_ = now;
-  outside_.note("ledger-slow-disk", "a commit takes " + std::to_string(storage_.mean() / 1000) +
-                                        " ms; another leads the ledger");
+  outside_.log_event(
+      "ledger-slow-disk",
+      "a commit takes " + std::to_string(storage_.mean() / 1000) + " ms; another leads the ledger");
   keeper_->hand_over(to);
   return true;
 }
@@ -769,14 +773,14 @@
 /// One keeper is to give its place to another router.
 Json Node::move(const Json& body) {
   std::string from = text(body, "from"), to = text(body, "to");
-  if (!keeper_ || !keeper_->leads()) return {{"leader", leader()}};
+  if (!keeper_ || !keeper_->is_leader()) return {{"leader", leader()}};
   auto all = members();
   if (move_ &&
       std::any_of(all.begin(), all.end(), [&](const auto& m) { return m.name == move_->from; }))
     return {{"error", "a move is under way: " + move_->from + " to " + move_->to}};
   auto hello = hellos_.find(to);
   auto candidate = hello == hellos_.end() ? std::nullopt : std::optional(hello->second.candidate);
-  std::string why = core::ledger::why_not({from, to}, settings_.keepers, all, candidate);
+  std::string why = core::ledger::why_not({from, to}, settings_.voters, all, candidate);
   if (!why.empty()) return {{"error", why}};
   if (!candidate)
     return {{"again", "'" + to + "' has not said lately that it may be made a keeper"}};
@@ -789,7 +793,7 @@
   return {{"moving", from + " to " + to}};
 }
 
-void Node::leave() {
+void Node::transfer_leadership() {
   if (keeper_) keeper_->hand_over();
 }
 
@@ -833,8 +837,8 @@
 void Node::try_call(std::uint64_t id, Pending& p) {
   p.next = outside_.now() + kTryEvery;
   if (!open_) return;
-  if (keeper_ &&
-      (keeper_->leads() || (mutant(Mutant::kReadsOwnState) && p.call.kind == Call::Kind::kGet))) {
+  if (keeper_ && (keeper_->is_leader() ||
+                  (mutant(Mutant::kReadsOwnState) && p.call.kind == Call::Kind::kGet))) {
     p.target = settings_.name;
     Call call = p.call;
     keeper_->submit(call, [this, id](std::optional<Outcome> outcome) {
--- a/src/daemon/ledger/node.hpp
+++ b/src/daemon/ledger/node.hpp
@@ -11,9 +11,9 @@
 #include <string>
 #include <vector>
 
-#include "core/audit/witness.hpp"
-#include "keeper.hpp"
-#include "stopwatch.hpp"
+#include "core/audit/summary_replication.hpp"
+#include "timed_storage.hpp"
+#include "voter.hpp"
 
 namespace violetusher::ledger {
 
@@ -22,14 +22,14 @@
 struct NodeSettings {
   std::uint64_t version = kFrameVersion;  ///< that it speaks
   std::string fleet;                      ///< frames of another one are not heard
-  std::string name, hall;
+  std::string name, zone;
   std::map<std::string, std::string> peers;  ///< the other routers' names and halls
-  bool keep = false;                         ///< whether this one may be made a keeper
-  std::size_t keepers = 3;                   ///< how many are to vote
+  bool may_vote = false;                     ///< whether this one may be made a keeper
+  std::size_t voters = 3;                    ///< how many are to vote
   std::size_t followers = 64;                ///< that one router feeds
   Micros replace_after = 60'000'000;         ///< a keeper that is gone for so long gives way
   std::size_t witnesses = 0;                 ///< others that hold what status() last said
-  Pace pace;
+  Timing timing;
 };
 
 class Node {
@@ -37,9 +37,9 @@
   static constexpr Micros kCallTime = 950'000;  ///< then a call is told that nothing is known
   static constexpr std::size_t kMostCalls = 256;
 
-  class Outside {
+  class Environment {
    public:
-    virtual ~Outside() = default;
+    virtual ~Environment() = default;
     virtual Micros now() = 0;  ///< monotonic
     virtual std::uint64_t random() = 0;
     virtual void send(const std::string& name, std::string frame) = 0;
@@ -47,12 +47,12 @@
     virtual void reply(std::uint64_t link, std::string frame) = 0;
     /// What this router is to act on has changed.
     virtual void on_view(const View& view) = 0;
-    virtual void note(const std::string& event, const std::string& text) = 0;
+    virtual void log_event(const std::string& event, const std::string& text) = 0;
   };
   using Done = std::function<void(std::optional<Outcome>, const std::string& why)>;
 
   /// All outlives it. Opens what the storage holds.
-  Node(Storage& storage, const NodeSettings& settings, Outside& outside);
+  Node(Storage& storage, const NodeSettings& settings, Environment& outside);
   ~Node();
 
   void tick();
@@ -61,7 +61,7 @@
   /// Puts or takes away one value. `call`'s caller and number are filled in.
   void call(Call call, Done done);
   /// Ends: hands leading over where it can.
-  void leave();
+  void transfer_leadership();
 
   const View& view() const { return view_; }
   /// How old the view may be; negative where that is not known.
@@ -71,14 +71,14 @@
   Json status();
   /// More to say in status(), under `key`.
   void tell(const std::string& key, Json what) { told_[key] = std::move(what); }
-  const Keeper* keeper() const { return keeper_.get(); }
+  const Voter* voter() const { return keeper_.get(); }
   const Meta& meta() const { return meta_; }
 
  private:
   struct Frame {
     std::string name, kind;
     std::uint64_t group = 0, epoch = 0, identity = 0, boot = 0, to = 0, disk = 0, link = 0;
-    Mark mark;
+    LogPosition mark;
     Json body;
   };
   struct Pending {
@@ -90,7 +90,7 @@
     std::uint64_t seen_at = 0;
   };
   struct Known {
-    Mark mark;
+    LogPosition mark;
     std::uint64_t boot = 0;
     Micros heard = 0;
     Micros disk = 0;  ///< mean of its commits
@@ -152,11 +152,11 @@
   Json told_ = Json::object();
   std::uint64_t summaries_ = 0;
   NodeSettings settings_;
-  Outside& outside_;
+  Environment& outside_;
   Meta meta_;
   View view_;
   core::audit::Witnesses witnesses_;
-  std::unique_ptr<Keeper> keeper_;
+  std::unique_ptr<Voter> keeper_;
   std::map<std::uint64_t, Known> known_;  // identities heard of
   std::map<std::string, Follower> followers_;
   std::map<std::string, Hello> hellos_;
--- a/src/daemon/ledger/raft_port.cpp
+++ b/src/daemon/ledger/raft_port.cpp
@@ -205,7 +205,7 @@
   return {image.snapshot->members_index, read_members(image.snapshot->members)};
 }
 
-RaftPort::RaftPort(Storage& storage, Image&& image, const Mark& floor, Outside outside)
+RaftPort::RaftPort(Storage& storage, Image&& image, const LogPosition& floor, Environment outside)
     : storage_(storage), image_(std::move(image)), outside_(std::move(outside)), floor_(floor) {
   if (mutant(Mutant::kVoteForgotten)) image_.vote = 0;
   mark_.term = image_.term;
@@ -332,7 +332,7 @@
       mark_.last_index = op.entry.index;
     }
     if (op.kind == Op::Kind::kSnapshot) {
-      Mark covered{mark_.term, op.snapshot.term, op.snapshot.index};
+      LogPosition covered{mark_.term, op.snapshot.term, op.snapshot.index};
       mark_.raise(covered);
       image_.snapshot = op.snapshot;
     }
@@ -468,7 +468,7 @@
   }
   if (message.type == RAFT_IO_REQUEST_VOTE && !mutant(Mutant::kFloorIgnored)) {
     const auto& v = message.request_vote;
-    if (Mark{0, v.last_log_term, v.last_log_index}.log_before(floor_)) return;
+    if (LogPosition{0, v.last_log_term, v.last_log_index}.log_before(floor_)) return;
   }
   pump();
   if (stale(message)) return;
--- a/src/daemon/ledger/raft_port.hpp
+++ b/src/daemon/ledger/raft_port.hpp
@@ -10,14 +10,14 @@
 #include <vector>
 
 #include "core/ledger/bytes.hpp"
-#include "core/ledger/probation.hpp"
+#include "core/ledger/rejoin_check.hpp"
 #include "libraft.hpp"
 #include "storage.hpp"
 
 namespace violetusher::ledger {
 
 using core::ledger::Json;
-using core::ledger::Mark;
+using core::ledger::LogPosition;
 using Micros = std::int64_t;
 
 struct RaftMember {
@@ -37,7 +37,7 @@
 
 class RaftPort {
  public:
-  struct Outside {
+  struct Environment {
     std::function<Micros()> now;
     std::function<std::uint64_t()> random;
     std::function<void(std::uint64_t to, const std::string& address, Json&& message)> send;
@@ -45,7 +45,7 @@
   };
 
   /// `image` is what the storage holds. All that is given outlives the port.
-  RaftPort(Storage& storage, Image&& image, const Mark& floor, Outside outside);
+  RaftPort(Storage& storage, Image&& image, const LogPosition& floor, Environment outside);
 
   raft_io* io() { return &io_; }
   void tick();
@@ -62,7 +62,7 @@
   /// Votes are given by this log alone from now on.
   void release_floor() { floor_ = {}; }
   /// What is on the disk.
-  const Mark& mark() const { return mark_; }
+  const LogPosition& log_position() const { return mark_; }
 
  private:
   struct Waiting {
@@ -87,8 +87,8 @@
   std::uint64_t conflict(const raft_message& message) const;
   void drop_members(std::uint64_t from, const raft_message& message);
   Image image_;  // its log without the entries' bytes, as it is on the disk
-  Outside outside_;
-  Mark mark_, floor_;
+  Environment outside_;
+  LogPosition mark_, floor_;
   raft_io io_{};
   raft_io_tick_cb tick_ = nullptr;
   raft_io_recv_cb receive_ = nullptr;
--- a/src/daemon/ledger/rescue.cpp
+++ b/src/daemon/ledger/rescue.cpp
@@ -3,8 +3,8 @@
 #include <algorithm>
 
 #include "core/ledger/state.hpp"
-#include "keeper.hpp"
 #include "raft_port.hpp"
+#include "voter.hpp"
 
 namespace violetusher::ledger {
 namespace {
@@ -12,7 +12,7 @@
 using core::ledger::State;
 
 /// The state that the whole of the image's log makes, and where it ends.
-bool replay(const Image& image, State& state, Mark& end) {
+bool replay(const Image& image, State& state, LogPosition& end) {
   std::uint64_t from = 0;
   if (image.snapshot) {
     if (!state.restore(image.snapshot->bytes)) return false;
@@ -34,7 +34,7 @@
                                   std::uint64_t identity, const std::string& fingerprint,
                                   std::string& error) {
   State state;
-  Mark end;
+  LogPosition end;
   if (!image.meta.keeper || image.meta.group == 0) {
     error = "no keeper's";
     return {};
@@ -60,7 +60,7 @@
   rescue.ops = {Op::count(Op::Kind::kTruncate, 0), Op::put(snapshot),
                 Op::count(Op::Kind::kTerm, image.term + 1), Op::of(meta),
                 Op::view(state.snapshot())};
-  rescue.told = {
+  rescue.report = {
       {"epoch", meta.epoch},
       {"keeps", {{"values", state.values().size()}, {"position", state.position().at}}},
       {"from", newer ? "the state that it last showed" : "its own log"},
@@ -71,7 +71,7 @@
 
 core::ledger::Json describe(const Image& image) {
   State state, shown;
-  Mark end{image.term, 0, 0};
+  LogPosition end{image.term, 0, 0};
   bool whole = replay(image, state, end);
   core::ledger::Json members = core::ledger::Json::array();
   for (const RaftMember& m : members_of(image).list)
--- a/src/daemon/ledger/rescue.hpp
+++ b/src/daemon/ledger/rescue.hpp
@@ -11,8 +11,8 @@
 namespace violetusher::ledger {
 
 struct Rescue {
-  std::vector<Op> ops;      ///< to be committed to that disk, all at once
-  core::ledger::Json told;  ///< what is kept, and what may be lost
+  std::vector<Op> ops;        ///< to be committed to that disk, all at once
+  core::ledger::Json report;  ///< what is kept, and what may be lost
 };
 
 /// All of the image's log counts, also what was never agreed on: it may have been promised. The
--- a/src/daemon/ledger/rolled_file.cpp
+++ b/src/daemon/ledger/rollout_file.cpp
@@ -1,4 +1,4 @@
-#include "rolled_file.hpp"
+#include "rollout_file.hpp"
 
 #include <fcntl.h>
 #include <unistd.h>
@@ -40,24 +40,24 @@
 
 }  // namespace
 
-std::optional<std::string> RolledFile::label() const {
+std::optional<std::string> RolloutFile::label() const {
   std::string text, own;
   net::CallStatus status, own_status;
-  net::read_plain_file(path_, text, &status);
-  net::read_plain_file(path_ + ".own", own, &own_status);
-  if (status.for_now() || own_status.for_now()) return std::nullopt;
+  net::read_regular_file(path_, text, &status);
+  net::read_regular_file(path_ + ".own", own, &own_status);
+  if (status.is_transient() || own_status.is_transient()) return std::nullopt;
   if (!status.done()) return "none";
   bool never_rolled = own_status.error == ENOENT;
   if (never_rolled || (own_status.done() && own == text)) return "own";
   return core::ledger::label(text);
 }
 
-std::string RolledFile::stage(const core::ledger::Text& text) {
+std::string RolloutFile::stage(const core::ledger::Text& text) {
   std::string own, there;
-  std::string why = net::read_plain_file(path_, there);
+  std::string why = net::read_regular_file(path_, there);
   if (!why.empty()) return path_ + ": " + why;
   net::CallStatus own_status;
-  std::string own_why = net::read_plain_file(path_ + ".own", own, &own_status);
+  std::string own_why = net::read_regular_file(path_ + ".own", own, &own_status);
   if (own_status.error == ENOENT) {
     // The first roll-out that this file sees. What it holds is the router's own.
     why = write_whole(path_ + ".own", there);
@@ -71,15 +71,15 @@
   return why;
 }
 
-bool RolledFile::swap() { return ::rename(staged().c_str(), path_.c_str()) == 0; }
+bool RolloutFile::swap() { return ::rename(staged().c_str(), path_.c_str()) == 0; }
 
-bool RolledFile::undo() {
+bool RolloutFile::undo() {
   bool done = ::rename((path_ + ".before").c_str(), path_.c_str()) == 0;
   undo_owed_ = !done && errno != ENOENT;
   return done;
 }
 
-void RolledFile::settle(const core::ledger::Text& text) {
+void RolloutFile::settle(const core::ledger::Text& text) {
   sync_folder(path_);
   ::unlink((path_ + ".before").c_str());
   // On its own again it is the router's to change by hand.
--- a/src/daemon/ledger/rolled_file.hpp
+++ b/src/daemon/ledger/rollout_file.hpp
@@ -13,9 +13,9 @@
 namespace violetusher::ledger {
 
 /// Used by two threads, one after the other: the ledger's stages, the router's swaps.
-class RolledFile {
+class RolloutFile {
  public:
-  explicit RolledFile(std::string path) : path_(std::move(path)) {}
+  explicit RolloutFile(std::string path) : path_(std::move(path)) {}
 
   const std::string& path() const { return path_; }
   std::string staged() const { return path_ + ".next"; }
--- a/src/daemon/ledger/rollouts.cpp
+++ b/src/daemon/ledger/rollouts.cpp
@@ -9,10 +9,10 @@
 using core::ledger::Text;
 
 Rollouts::Rollouts(const std::map<std::string, core::config::Rollout>& files, std::string name,
-                   std::vector<std::string> names, Outside outside)
+                   std::vector<std::string> names, Environment outside)
     : name_(std::move(name)), names_(std::move(names)), outside_(std::move(outside)) {
   for (const auto& [rolled, f] : files)
-    files_.emplace(rolled, One{RolledFile(f.file), f.spread, {}, false});
+    files_.emplace(rolled, One{RolloutFile(f.file), f.spread, {}, false});
 }
 
 void Rollouts::look() {
@@ -23,7 +23,7 @@
 void Rollouts::look_at(One& one) {
   auto has = one.file.label();
   one.known = has.has_value();
-  if (has && *has != one.adopter.has() && !one.adopter.busy()) one.adopter.found(*has);
+  if (has && *has != one.adopter.has() && !one.adopter.busy()) one.adopter.set_current(*has);
 }
 
 void Rollouts::on_view(const core::ledger::View& view) {
@@ -35,7 +35,8 @@
     auto plan = Plan::parse(value->second.text);
     if (!plan) continue;
     auto part = static_cast<Micros>(outside_.random() % static_cast<std::uint64_t>(one.spread + 1));
-    one.adopter.want(value->second.version, wanted(*plan, name_, names_), outside_.now() + part);
+    one.adopter.set_target(value->second.version, target_text(*plan, name_, names_),
+                           outside_.now() + part);
   }
   if (!files_.empty()) report();
 }
@@ -55,22 +56,23 @@
 void Rollouts::start(const std::string& name, One& one, const Adopter::Job& job) {
   std::string why = one.file.stage(job.text);
   if (!why.empty()) return end(name, one, job.text, Adopter::End::kFailed, why);
-  outside_.try_on(one.file, [this, &name, &one, text = job.text](const std::string& refused) {
-    end(name, one, text, refused.empty() ? Adopter::End::kTaken : Adopter::End::kRefused, refused);
+  outside_.apply_staged(one.file, [this, &name, &one, text = job.text](const std::string& refused) {
+    end(name, one, text, refused.empty() ? Adopter::End::kAdopted : Adopter::End::kRefused,
+        refused);
   });
 }
 
 void Rollouts::end(const std::string& name, One& one, const Text& text, Adopter::End how,
                    const std::string& why) {
-  one.adopter.ended(how, why, outside_.now(), outside_.random());
+  one.adopter.finish(how, why, outside_.now(), outside_.random());
   std::string of = "roll-out of " + name + ", text " + core::ledger::label(text) + ": ";
-  if (how == Adopter::End::kTaken) {
+  if (how == Adopter::End::kAdopted) {
     one.file.settle(text);
-    outside_.note("rollout-taken", of + "taken");
+    outside_.log_event("rollout-taken", of + "taken");
   } else if (how == Adopter::End::kRefused) {
-    outside_.note("rollout-refused", of + why);
+    outside_.log_event("rollout-refused", of + why);
   } else {
-    outside_.note("rollout-failed", of + why + "; tried again");
+    outside_.log_event("rollout-failed", of + why + "; tried again");
   }
   report();
 }
--- a/src/daemon/ledger/rollouts.hpp
+++ b/src/daemon/ledger/rollouts.hpp
@@ -11,7 +11,7 @@
 #include "core/config/model.hpp"
 #include "core/ledger/rollout.hpp"
 #include "core/ledger/view.hpp"
-#include "rolled_file.hpp"
+#include "rollout_file.hpp"
 
 namespace violetusher::ledger {
 
@@ -19,20 +19,20 @@
  public:
   /// Why the router can't act on what is staged, empty where it now does.
   using Tried = std::function<void(std::string why)>;
-  struct Outside {
+  struct Environment {
     std::function<core::ledger::Micros()> now;
     std::function<std::uint64_t()> random;
     /// Whether what the ledger says is known to be recent: on an old word nothing new is begun.
     std::function<bool()> recent;
     /// Asks the router to act on what is staged; `tried` comes later, on this thread.
-    std::function<void(RolledFile& file, Tried tried)> try_on;
+    std::function<void(RolloutFile& file, Tried tried)> apply_staged;
     std::function<void(core::ledger::Json report)> report;
-    std::function<void(const std::string& event, const std::string& text)> note;
+    std::function<void(const std::string& event, const std::string& text)> log_event;
   };
 
   /// `names`: of all routers, `name` among them.
   Rollouts(const std::map<std::string, core::config::Rollout>& files, std::string name,
-           std::vector<std::string> names, Outside outside);
+           std::vector<std::string> names, Environment outside);
 
   void on_view(const core::ledger::View& view);
   void tick();
@@ -41,7 +41,7 @@
 
  private:
   struct One {
-    RolledFile file;
+    RolloutFile file;
     core::ledger::Micros spread;
     core::ledger::Adopter adopter;
     bool known = false;  // what the file holds was read
@@ -55,7 +55,7 @@
   std::map<std::string, One> files_;
   std::string name_;
   std::vector<std::string> names_;
-  Outside outside_;
+  Environment outside_;
 };
 
 }  // namespace violetusher::ledger
--- a/src/daemon/ledger/service.cpp
+++ b/src/daemon/ledger/service.cpp
@@ -5,7 +5,7 @@
 #include <random>
 
 #include "net/config.hpp"
-#include "net/peers.hpp"
+#include "net/peer_transport.hpp"
 #include "sqlite_storage.hpp"
 
 namespace violetusher::ledger {
@@ -35,25 +35,25 @@
   NodeSettings s;
   s.fleet = l.fleet;
   s.name = name;
-  for (const auto& [peer, p] : peers) (peer == name ? s.hall : s.peers[peer]) = p.hall;
-  s.keep = l.keep;
-  s.keepers = static_cast<std::size_t>(l.keepers);
+  for (const auto& [peer, p] : peers) (peer == name ? s.zone : s.peers[peer]) = p.zone;
+  s.may_vote = l.may_vote;
+  s.voters = static_cast<std::size_t>(l.voters);
   s.followers = static_cast<std::size_t>(l.followers);
   s.replace_after = l.replace_after;
-  s.pace.trust_after = l.trust_after;
+  s.timing.trust_after = l.trust_after;
   return s;
 }
 
 /// All that belongs to the ledger's thread.
-class Service::Outside final : public Node::Outside {
+class Service::Environment final : public Node::Environment {
  public:
-  Outside(Service& service, const core::config::Model& model)
-      : Outside(service, model.ledgers.begin()->second, model.peers, model.rollouts) {
+  Environment(Service& service, const core::config::Model& model)
+      : Environment(service, model.ledgers.begin()->second, model.peers, model.rollouts) {
     if (!model.audits.empty()) settings_.witnesses = kWitnesses;
   }
-  Outside(Service& service, const core::config::Ledger& settings,
-          const std::map<std::string, core::config::Peer>& peers,
-          const std::map<std::string, core::config::Rollout>& rollouts)
+  Environment(Service& service, const core::config::Ledger& settings,
+              const std::map<std::string, core::config::Peer>& peers,
+              const std::map<std::string, core::config::Rollout>& rollouts)
       : service_(service),
         io_(service.base_.get()),
         random_(std::random_device{}() * 0x100000001ull ^ std::random_device{}()),
@@ -74,7 +74,7 @@
   }
 
   void start() {
-    io_.renew();
+    io_.update_time();
     rollouts_.look();
     node_ = std::make_unique<Node>(storage_, settings_, *this);
     rollouts_.look();
@@ -99,11 +99,11 @@
     if (out == out_) return;
     out_ = out;
     service_.to_router_.post(
-        [&service = service_, out = std::move(out)] { service.handler_.on_servers_out(out); });
+        [&service = service_, out = std::move(out)] { service.handler_.on_bans_changed(out); });
   }
-  void note(const std::string& event, const std::string& text) override {
+  void log_event(const std::string& event, const std::string& text) override {
     service_.to_router_.post(
-        [&service = service_, event, text] { service.handler_.note(event, text); });
+        [&service = service_, event, text] { service.handler_.log_event(event, text); });
   }
 
  private:
@@ -127,15 +127,15 @@
     for (const auto& [peer, hall] : settings_.peers) all.push_back(peer);
     return all;
   }
-  Rollouts::Outside rollouts_outside() {
+  Rollouts::Environment rollouts_outside() {
     return {[this] { return io_.now(); },
             [this] { return random_(); },
             [this] { return node_->recent(); },
-            [this](RolledFile& file, Rollouts::Tried tried) {
+            [this](RolloutFile& file, Rollouts::Tried tried) {
               service_.to_router_.post([this, &file, tried = std::move(tried)] {
-                std::string why = service_.handler_.try_on(file);
+                std::string why = service_.handler_.apply_staged(file);
                 service_.to_ledger_->post([this, tried, why] {
-                  io_.renew();
+                  io_.update_time();
                   tried(why);
                 });
               });
@@ -143,7 +143,7 @@
             [this](Json report) {
               if (node_) node_->tell("rollouts", std::move(report));
             },
-            [this](const std::string& event, const std::string& text) { note(event, text); }};
+            [this](const std::string& event, const std::string& text) { log_event(event, text); }};
   }
 
   Service& service_;
@@ -151,7 +151,7 @@
   std::mt19937_64 random_;
   SqliteStorage storage_;
   NodeSettings settings_;
-  net::Peers peers_;
+  net::PeerTransport peers_;
   Rollouts rollouts_;
   std::unique_ptr<net::Alarm> tick_alarm_;
   std::unique_ptr<Node> node_;
@@ -163,8 +163,8 @@
                  Handler handler)
     : handler_(std::move(handler)), name_(name), to_router_(base), base_(event_base_new()) {
   if (!base_) throw std::runtime_error("no event base");
-  to_ledger_ = std::make_unique<net::Crossing>(base_.get());
-  outside_ = std::make_unique<Outside>(*this, model);
+  to_ledger_ = std::make_unique<net::LoopTaskQueue>(base_.get());
+  outside_ = std::make_unique<Environment>(*this, model);
   // Signals are the router's business.
   sigset_t all, before;
   sigfillset(&all);
@@ -184,9 +184,9 @@
   outside_->end();
 }
 
-void Service::put_out(const std::string& id, bool out, std::function<void(std::string)> done) {
+void Service::set_banned(const std::string& id, bool out, std::function<void(std::string)> done) {
   to_ledger_->post([this, id, out, done = std::move(done)] {
-    outside_->io().renew();
+    outside_->io().update_time();
     Call call;
     call.kind = out ? Call::Kind::kPut : Call::Kind::kErase;
     call.name = kOut + id;
@@ -203,11 +203,11 @@
   });
 }
 
-void Service::leave() {
-  to_ledger_->post([this] { outside_->node().leave(); });
+void Service::transfer_leadership() {
+  to_ledger_->post([this] { outside_->node().transfer_leadership(); });
 }
 
-void Service::look_again() {
+void Service::reread_rollout_files() {
   to_ledger_->post([this] { outside_->rollouts().look(); });
 }
 
--- a/src/daemon/ledger/service.hpp
+++ b/src/daemon/ledger/service.hpp
@@ -10,25 +10,25 @@
 #include <thread>
 
 #include "core/config/model.hpp"
-#include "daemon/crossing.hpp"
+#include "daemon/loop_task_queue.hpp"
 #include "net/operations.hpp"
 #include "node.hpp"
 #include "rollouts.hpp"
 
 namespace violetusher::ledger {
 
-class Service final : public net::Operations::Promises {
+class Service final : public net::Operations::FleetBans {
  public:
   /// Called on the router's own thread.
   struct Handler {
-    std::function<void(const std::set<std::string>& out)> on_servers_out;
-    std::function<void(const std::string& event, const std::string& text)> note;
+    std::function<void(const std::set<std::string>& out)> on_bans_changed;
+    std::function<void(const std::string& event, const std::string& text)> log_event;
     /// What the router acts on, by kind: a digest or a name each.
     std::function<std::map<std::string, std::string>()> versions;
     /// Where the router's trail stands; empty or none where it keeps none.
     std::function<std::string()> trail;
     /// Puts a staged text in its file's place and acts on it; why not, empty where it does.
-    std::function<std::string(RolledFile& file)> try_on;
+    std::function<std::string(RolloutFile& file)> apply_staged;
   };
 
   /// `base`: the router's loop. `model` has a ledger. Throws net::ConfigError where it can't
@@ -38,22 +38,23 @@
   ~Service() override;
   Service(const Service&) = delete;
 
-  void put_out(const std::string& id, bool out, std::function<void(std::string why)> done) override;
+  void set_banned(const std::string& id, bool out,
+                  std::function<void(std::string why)> done) override;
   /// The router ends: leading goes to another.
-  void leave();
+  void transfer_leadership();
   /// Files that are rolled out may have been changed by hand.
-  void look_again();
+  void reread_rollout_files();
 
  private:
-  class Outside;
+  class Environment;
   void run();
 
   Handler handler_;
   std::string name_;
-  net::Crossing to_router_;
+  net::LoopTaskQueue to_router_;
   net::EventBasePtr base_;
-  std::unique_ptr<net::Crossing> to_ledger_;
-  std::unique_ptr<Outside> outside_;
+  std::unique_ptr<net::LoopTaskQueue> to_ledger_;
+  std::unique_ptr<Environment> outside_;
   bool stopping_ = false;  // of the ledger's thread
   std::thread thread_;
 };
--- a/src/daemon/ledger/sqlite_storage.cpp
+++ b/src/daemon/ledger/sqlite_storage.cpp
@@ -113,7 +113,7 @@
 
 /// Of the call that has just failed. An error of the disk says nothing about what is on it: whoever
 /// put the files aside for one would lose its promises for a cable.
-Loaded SqliteStorage::why() const {
+LoadResult SqliteStorage::why() const {
   switch (db_ ? sqlite3_errcode(db_.get()) & 0xff : SQLITE_NOMEM) {
     case SQLITE_CORRUPT:
     case SQLITE_NOTADB:
@@ -121,22 +121,22 @@
     case SQLITE_ERROR:  // a table that is none of ours
     case SQLITE_MISMATCH:
     case SQLITE_CONSTRAINT:
-      return Loaded::kSpoilt;
+      return LoadResult::kCorrupt;
     default:
-      return Loaded::kUnreadable;
+      return LoadResult::kUnreadable;
   }
 }
 
-Loaded SqliteStorage::load(Image& image, std::string& error) {
+LoadResult SqliteStorage::load(Image& image, std::string& error) {
   image = Image();
   db_.reset();
   auto bad = [&](const std::string& what) {
     error = error_ = what;
     image = Image();
-    return Loaded::kSpoilt;
+    return LoadResult::kCorrupt;
   };
   auto failed = [&] {
-    Loaded how = why();
+    LoadResult how = why();
     bad(error_);
     return how;
   };
@@ -169,8 +169,8 @@
     image.log.push_back(std::move(e));
   }
   if (step != SQLITE_DONE) return fail(), failed();
-  std::string flaw = flaw_of(image);
-  return flaw.empty() ? Loaded::kGood : bad(flaw);
+  std::string flaw = image_error(image);
+  return flaw.empty() ? LoadResult::kOk : bad(flaw);
 }
 
 bool SqliteStorage::put(std::string_view name, const std::string& bytes) {
@@ -248,7 +248,7 @@
          std::to_string(info.stx_btime.tv_nsec);
 }
 
-bool SqliteStorage::set_aside() {
+bool SqliteStorage::quarantine() {
   db_.reset();
   if (read_only_) return false;
   // One is kept for people; the ones before it go, so that a disk that fails again and again does
--- a/src/daemon/ledger/sqlite_storage.hpp
+++ b/src/daemon/ledger/sqlite_storage.hpp
@@ -20,11 +20,11 @@
   explicit SqliteStorage(std::string folder, bool read_only = false);
   ~SqliteStorage() override;
 
-  Loaded load(Image& image, std::string& error) override;
+  LoadResult load(Image& image, std::string& error) override;
   bool commit(const std::vector<Op>& ops) override;
-  std::int64_t took() const override { return took_; }
+  std::int64_t last_commit_us() const override { return took_; }
   std::string fingerprint() override;
-  bool set_aside() override;
+  bool quarantine() override;
   /// Why the last call failed.
   const std::string& error() const { return error_; }
 
@@ -40,7 +40,7 @@
   bool put(std::string_view name, const std::string& bytes);
   bool write(const Op& op);
   bool fail();
-  Loaded why() const;
+  LoadResult why() const;
 
   std::string folder_, error_;
   bool read_only_;
--- a/src/daemon/ledger/storage.cpp
+++ b/src/daemon/ledger/storage.cpp
@@ -73,7 +73,7 @@
   }
 }
 
-std::string flaw_of(const Image& image) {
+std::string image_error(const Image& image) {
   for (std::size_t i = 1; i < image.log.size(); ++i)
     if (image.log[i].index != image.log[i - 1].index + 1 ||
         image.log[i].term < image.log[i - 1].term)
--- a/src/daemon/ledger/storage.hpp
+++ b/src/daemon/ledger/storage.hpp
@@ -65,32 +65,32 @@
   static Op view(std::string state);
 };
 
-enum class Loaded {
-  kGood,
+enum class LoadResult {
+  kOk,
   kUnreadable,  ///< not now: the disk gives an error, or takes nothing. It may later
-  kSpoilt,      ///< what is there is not as it was written, and never will be
+  kCorrupt,     ///< what is there is not as it was written, and never will be
 };
 
 class Storage {
  public:
   virtual ~Storage() = default;
   /// All that is there; where it is not good, `error` says why and nothing is given.
-  virtual Loaded load(Image& image, std::string& error) = 0;
+  virtual LoadResult load(Image& image, std::string& error) = 0;
   /// All of it or nothing. False where it could not be written; what then stands is either, so the
   /// caller reads it anew before it goes on.
   virtual bool commit(const std::vector<Op>& ops) = 0;
   /// How long the last commit took, in microseconds.
-  virtual std::int64_t took() const { return 0; }
+  virtual std::int64_t last_commit_us() const { return 0; }
   /// Tells files that were put back from those that have stayed; see Meta::fingerprint. Empty where
   /// that can't be told now.
   virtual std::string fingerprint() = 0;
   /// Puts what is there out of the way, kept for people, and begins with nothing.
-  virtual bool set_aside() = 0;
+  virtual bool quarantine() = 0;
 };
 
 /// What the ops make of an image; what both kinds of storage agree on.
 void apply_ops(Image& image, const std::vector<Op>& ops);
 /// What is wrong with an image as a whole; empty where nothing is.
-std::string flaw_of(const Image& image);
+std::string image_error(const Image& image);
 
 }  // namespace violetusher::ledger
--- a/src/daemon/ledger/stopwatch.hpp
+++ b/src/daemon/ledger/timed_storage.hpp
@@ -12,15 +12,15 @@
  public:
   explicit Stopwatch(Storage& disk) : disk_(disk) {}
 
-  Loaded load(Image& image, std::string& error) override { return disk_.load(image, error); }
+  LoadResult load(Image& image, std::string& error) override { return disk_.load(image, error); }
   bool commit(const std::vector<Op>& ops) override {
     bool good = disk_.commit(ops);
-    mean_ += (disk_.took() - mean_) / 8;
+    mean_ += (disk_.last_commit_us() - mean_) / 8;
     return good;
   }
-  std::int64_t took() const override { return disk_.took(); }
+  std::int64_t last_commit_us() const override { return disk_.last_commit_us(); }
   std::string fingerprint() override { return disk_.fingerprint(); }
-  bool set_aside() override { return disk_.set_aside(); }
+  bool quarantine() override { return disk_.quarantine(); }
 
   /// Of a commit, in microseconds, over the last dozen or so.
   std::int64_t mean() const { return mean_; }
--- a/src/daemon/ledger/keeper.cpp
+++ b/src/daemon/ledger/voter.cpp
@@ -1,4 +1,4 @@
-#include "keeper.hpp"
+#include "voter.hpp"
 
 #include <algorithm>
 #include <cstring>
@@ -13,8 +13,8 @@
 
 constexpr Micros kMostTick = 100'000;  // from one tick to the next, of time that it was awake
 
-Mark mark_of(const Image& image) {
-  Mark m{image.term, 0, 0};
+LogPosition mark_of(const Image& image) {
+  LogPosition m{image.term, 0, 0};
   if (image.snapshot) m = {image.term, image.snapshot->term, image.snapshot->index};
   if (!image.log.empty()) m.raise({0, image.log.back().term, image.log.back().index});
   return m;
@@ -35,24 +35,24 @@
 
 std::string name_in(const std::string& address) { return address.substr(0, address.rfind('#')); }
 
-struct Keeper::Request {
+struct Voter::Request {
   struct raft_apply apply {};
-  Keeper* keeper = nullptr;
+  Voter* keeper = nullptr;
   Done done;
 };
 
-struct Keeper::Change {
+struct Voter::Change {
   raft_change change{};
-  Keeper* keeper = nullptr;
+  Voter* keeper = nullptr;
 };
 
-Keeper::Keeper(Storage& storage, Image&& image, const std::string& name, const Pace& pace,
-               std::size_t wanted, std::size_t routers, RaftPort::Outside outside)
+Voter::Voter(Storage& storage, Image&& image, const std::string& name, const Timing& timing,
+             std::size_t wanted, std::size_t routers, RaftPort::Environment outside)
     : storage_(storage),
       image_(std::move(image)),
       name_(name),
       address_(raft_address(name, image_.meta.identity)),
-      pace_(pace),
+      pace_(timing),
       outside_(std::move(outside)),
       identity_(image_.meta.identity),
       own_(mark_of(image_)),
@@ -63,22 +63,22 @@
   look();
 }
 
-Keeper::~Keeper() {
+Voter::~Voter() {
   if (port_) raft_close(&raft_, nullptr);
 }
 
-void Keeper::heard(std::uint64_t from, const core::ledger::Probation::Answer& answer) {
+void Voter::heard(std::uint64_t from, const core::ledger::Probation::Answer& answer) {
   if (stage_ != Stage::kAsking) return;
   probation_.heard(from, answer);
   look();
 }
 
-void Keeper::vouch() {
+void Voter::vouch() {
   probation_.vouch();
   look();
 }
 
-void Keeper::look() {
+void Voter::look() {
   if (stage_ != Stage::kAsking) return;
   switch (probation_.verdict()) {
     case core::ledger::Probation::Verdict::kWait:
@@ -92,8 +92,8 @@
   }
 }
 
-bool Keeper::run() {
-  const Mark& floor = probation_.floor();
+bool Voter::run() {
+  const LogPosition& floor = probation_.floor();
   // It may have voted in any term up to the highest there is: in that one it does so no more.
   std::vector<Op> ops;
   if (floor.term > image_.term) ops.push_back(Op::count(Op::Kind::kTerm, floor.term));
@@ -108,13 +108,13 @@
   fsm_.version = 1;
   fsm_.data = this;
   fsm_.apply = [](raft_fsm* fsm, const raft_buffer* buf, void** result) {
-    auto& self = *static_cast<Keeper*>(fsm->data);
+    auto& self = *static_cast<Voter*>(fsm->data);
     self.applied_ = self.view_.apply({static_cast<const char*>(buf->base), buf->len});
     *result = &self.applied_;
     return 0;
   };
   fsm_.snapshot = [](raft_fsm* fsm, raft_buffer** bufs, unsigned* count) {
-    std::string bytes = static_cast<Keeper*>(fsm->data)->view_.state().snapshot();
+    std::string bytes = static_cast<Voter*>(fsm->data)->view_.state().snapshot();
     *bufs = static_cast<raft_buffer*>(raft_malloc(sizeof(raft_buffer)));
     (*bufs)[0] = {raft_malloc(bytes.size()), bytes.size()};
     std::memcpy((*bufs)[0].base, bytes.data(), bytes.size());
@@ -122,7 +122,7 @@
     return 0;
   };
   fsm_.restore = [](raft_fsm* fsm, raft_buffer* buf) {
-    auto& view = static_cast<Keeper*>(fsm->data)->view_;
+    auto& view = static_cast<Voter*>(fsm->data)->view_;
     if (!view.reset({static_cast<const char*>(buf->base), buf->len})) return int{RAFT_CORRUPT};
     raft_free(buf->base);
     return 0;
@@ -144,13 +144,13 @@
   return stage_ != Stage::kFailed && stage_ != Stage::kAgain;
 }
 
-void Keeper::settle() {
+void Voter::settle() {
   if (port_ && !port_->pump()) stage_ = port_->again() ? Stage::kAgain : Stage::kFailed;
   // Raft has given up on something that it can't explain; its disk is as it was.
   if (stage_ == Stage::kRunning && raft_.state == RAFT_UNAVAILABLE) stage_ = Stage::kFailed;
 }
 
-void Keeper::tick() {
+void Voter::tick() {
   // Where the clock jumps, or the process was frozen, nobody had the time to tell it anything.
   awake_ += std::clamp<Micros>(outside_.now() - last_tick_, 0, kMostTick);
   last_tick_ = outside_.now();
@@ -162,10 +162,10 @@
   if (trusted) port_->release_floor();
   port_->tick();
   settle();
-  if (leads()) heard_leader_ = outside_.now();
+  if (is_leader()) heard_leader_ = outside_.now();
 }
 
-void Keeper::receive(std::uint64_t from, const std::string& address, const Json& message) {
+void Voter::receive(std::uint64_t from, const std::string& address, const Json& message) {
   if (stage_ != Stage::kRunning) return;
   port_->receive(from, address, message);
   settle();
@@ -173,13 +173,13 @@
     heard_leader_ = outside_.now();
 }
 
-void Keeper::submit(const Call& call, Done done) {
+void Voter::submit(const Call& call, Done done) {
   if (stage_ == Stage::kRunning && call.kind == Call::Kind::kGet &&
       mutant(Mutant::kReadsOwnState)) {
     core::ledger::State own = view_.state();
     return done(own.apply(core::ledger::to_bytes(call.json())));
   }
-  if (!leads()) return done(std::nullopt);
+  if (!is_leader()) return done(std::nullopt);
   std::string bytes = core::ledger::to_bytes(call.json());
   raft_buffer buffer{raft_malloc(bytes.size()), bytes.size()};
   std::memcpy(buffer.base, bytes.data(), bytes.size());
@@ -202,7 +202,7 @@
   settle();
 }
 
-std::string Keeper::leader() {
+std::string Voter::leader() {
   if (stage_ != Stage::kRunning) return {};
   raft_id id = 0;
   const char* address = nullptr;
@@ -210,7 +210,7 @@
   return id && address ? name_in(address) : std::string();
 }
 
-std::vector<RaftMember> Keeper::members() const {
+std::vector<RaftMember> Voter::members() const {
   if (!port_) return first_members_.list;
   std::vector<RaftMember> members;
   for (unsigned i = 0; i < raft_.configuration.n; ++i) {
@@ -220,21 +220,21 @@
   return members;
 }
 
-core::ledger::Probation::Voters Keeper::voters() const {
+core::ledger::Probation::Voters Voter::voters() const {
   if (!port_) return voters_in(first_members_);
   std::uint64_t index = raft_.configuration_uncommitted_index;
   return voters_in({index ? index : raft_.configuration_index, members()});
 }
 
-bool Keeper::votes() const {
+bool Voter::votes() const {
   auto all = members();
   return std::any_of(all.begin(), all.end(), [this](const RaftMember& m) {
     return m.identity == identity_ && m.role == RAFT_VOTER;
   });
 }
 
-void Keeper::take_step(const core::ledger::Step& step) {
-  if (!leads() || changing()) return;
+void Voter::take_step(const core::ledger::Step& step) {
+  if (!is_leader() || changing()) return;
   auto* change = new Change{{}, this};
   change->change.data = change;
   auto finish = [](raft_change* c, int) {
@@ -258,11 +258,11 @@
   settle();
 }
 
-void Keeper::hand_over(std::uint64_t to) {
-  if (!leads() || transferring_) return;
+void Voter::hand_over(std::uint64_t to) {
+  if (!is_leader() || transferring_) return;
   transfer_.data = this;
   transferring_ = raft_transfer(&raft_, &transfer_, to, [](struct raft_transfer* t) {
-                    static_cast<Keeper*>(t->data)->transferring_ = false;
+                    static_cast<Voter*>(t->data)->transferring_ = false;
                   }) == 0;
   settle();
 }
--- a/src/daemon/ledger/keeper.hpp
+++ b/src/daemon/ledger/voter.hpp
@@ -8,8 +8,8 @@
 #include <string>
 #include <vector>
 
-#include "core/ledger/heal.hpp"
-#include "core/ledger/probation.hpp"
+#include "core/ledger/reconfiguration.hpp"
+#include "core/ledger/rejoin_check.hpp"
 #include "core/ledger/view.hpp"
 #include "libraft.hpp"
 #include "raft_port.hpp"
@@ -22,7 +22,7 @@
 using core::ledger::View;
 
 /// Times of the group; all keepers of one should have the same.
-struct Pace {
+struct Timing {
   Micros heartbeat = 60'000, election = 600'000;
   Micros trust_after = 15'000'000;  ///< then a disk that nobody vouched for is taken as it is
   unsigned snapshot_entries = 512, snapshot_trailing = 128;
@@ -33,7 +33,7 @@
 /// The router's name in such an address.
 std::string name_in(const std::string& address);
 
-class Keeper {
+class Voter {
  public:
   enum class Stage {
     kAsking,  ///< it does not yet know whether its disk is an old one
@@ -46,9 +46,9 @@
   using Done = std::function<void(std::optional<Outcome>)>;
 
   /// `wanted`: voters of the whole group; `routers`: the others of the fleet.
-  Keeper(Storage& storage, Image&& image, const std::string& name, const Pace& pace,
-         std::size_t wanted, std::size_t routers, RaftPort::Outside outside);
-  ~Keeper();
+  Voter(Storage& storage, Image&& image, const std::string& name, const Timing& timing,
+        std::size_t wanted, std::size_t routers, RaftPort::Environment outside);
+  ~Voter();
 
   Stage stage() const { return stage_; }
   std::uint64_t identity() const { return identity_; }
@@ -61,7 +61,7 @@
   /// The outcome comes once the call is committed, from within tick() or receive(), or here.
   void submit(const Call& call, Done done);
 
-  bool leads() const { return stage_ == Stage::kRunning && raft_.state == RAFT_LEADER; }
+  bool is_leader() const { return stage_ == Stage::kRunning && raft_.state == RAFT_LEADER; }
   std::string leader();  ///< its name; empty where none is known
   /// When it last heard from the leader of its term, or led itself; 0 = not yet.
   Micros heard_leader() const { return heard_leader_; }
@@ -74,7 +74,7 @@
   void hand_over(std::uint64_t to = 0);
 
   const View& view() const { return view_; }
-  const Mark& mark() const { return port_ ? port_->mark() : own_; }
+  const LogPosition& log_position() const { return port_ ? port_->log_position() : own_; }
 
  private:
   struct Request;
@@ -86,10 +86,10 @@
   Storage& storage_;
   Image image_;  // until raft runs
   std::string name_, address_;
-  Pace pace_;
-  RaftPort::Outside outside_;
+  Timing pace_;
+  RaftPort::Environment outside_;
   std::uint64_t identity_;
-  Mark own_;
+  LogPosition own_;
   Members first_members_;
   core::ledger::Probation probation_;
   Stage stage_ = Stage::kAsking;
--- a/src/daemon/crossing.cpp
+++ b/src/daemon/loop_task_queue.cpp
@@ -1,4 +1,4 @@
-#include "crossing.hpp"
+#include "loop_task_queue.hpp"
 
 #include <sys/eventfd.h>
 #include <unistd.h>
@@ -13,7 +13,7 @@
 
 }  // namespace
 
-Crossing::Crossing(event_base* base) : bell_(::eventfd(0, EFD_NONBLOCK | EFD_CLOEXEC)) {
+LoopTaskQueue::LoopTaskQueue(event_base* base) : bell_(::eventfd(0, EFD_NONBLOCK | EFD_CLOEXEC)) {
   if (!bell_) throw std::system_error(errno, std::generic_category(), "eventfd");
   event_.reset(event_new(base, bell_.get(), EV_READ | EV_PERSIST, on_ready, this));
   event_add(event_.get(), nullptr);
@@ -22,7 +22,7 @@
   event_add(look_.get(), &every);
 }
 
-void Crossing::post(std::function<void()> task) {
+void LoopTaskQueue::post(std::function<void()> task) {
   {
     std::lock_guard lock(mutex_);
     tasks_.push_back(std::move(task));
@@ -34,20 +34,20 @@
 }
 
 /// What a bell that failed to ring has left, and a bell that was not watched.
-void Crossing::on_look(evutil_socket_t, short, void* self) {
-  auto* crossing = static_cast<Crossing*>(self);
+void LoopTaskQueue::on_look(evutil_socket_t, short, void* self) {
+  auto* crossing = static_cast<LoopTaskQueue*>(self);
   event_add(crossing->event_.get(), nullptr);
   crossing->run();
 }
 
-void Crossing::on_ready(evutil_socket_t bell, short, void* self) {
-  auto* crossing = static_cast<Crossing*>(self);
+void LoopTaskQueue::on_ready(evutil_socket_t bell, short, void* self) {
+  auto* crossing = static_cast<LoopTaskQueue*>(self);
   std::uint64_t rung = 0;
   [[maybe_unused]] ssize_t got = ::read(bell, &rung, sizeof rung);
   crossing->run();
 }
 
-void Crossing::run() {
+void LoopTaskQueue::run() {
   std::vector<std::function<void()>> tasks;
   {
     std::lock_guard lock(mutex_);
--- a/src/daemon/crossing.hpp
+++ b/src/daemon/loop_task_queue.hpp
@@ -11,10 +11,10 @@
 
 namespace violetusher::net {
 
-class Crossing {
+class LoopTaskQueue {
  public:
   /// `base`: of the loop that runs what is posted. Made and unmade while that loop stands still.
-  explicit Crossing(event_base* base);
+  explicit LoopTaskQueue(event_base* base);
   /// From any thread.
   void post(std::function<void()> task);
 
--- a/src/daemon/main.cpp
+++ b/src/daemon/main.cpp
@@ -22,8 +22,8 @@
 #include "net/system_io.hpp"
 #ifdef VIOLETUSHER_LEDGER
 #include "daemon/audit/trail_files.hpp"
-#include "daemon/crossing.hpp"
 #include "daemon/ledger/service.hpp"
+#include "daemon/loop_task_queue.hpp"
 #endif
 
 namespace {
@@ -54,10 +54,10 @@
     try {
       read();
     } catch (const UnreadableError& e) {
-      if (e.for_now) return false;
+      if (e.is_transient) return false;
       throw;
     } catch (const std::system_error& e) {  // no thread or descriptor to be had
-      if (result_of(e.code().value()) == CallResult::kBroken) throw;
+      if (result_of(e.code().value()) == CallResult::kPermanentError) throw;
       return false;
     }
     return true;
@@ -104,7 +104,7 @@
         reload_alarm_(io_.alarm([this] { read_again(); })) {
     if (operator_file.empty()) return;
     auto model = load_operator_file(operator_file, &config);
-    router_.listen_besides(model);
+    router_.update_listeners(model);
     recorders_ = model.recorders;
     hold_together(base, model);
     keep_trail(base, model);
@@ -123,7 +123,7 @@
       return 1;
     }
     for (int number : {SIGTERM, SIGINT, SIGHUP, SIGUSR2}) violetusher::keep_signal(number);
-    router_.each_turn([this] { act_on_signals(); });
+    router_.on_each_iteration([this] { act_on_signals(); });
     std::string host = listen.substr(0, listen.rfind(':'));
     say(Log::Level::kInfo, "listening",
         name_ + " listens on " + host + ":" + std::to_string(router_.port()));
@@ -133,7 +133,7 @@
 
  private:
   bool may_serve() {
-    io_.renew();
+    io_.update_time();
     return router_.may_serve();
   }
 
@@ -146,7 +146,7 @@
 
   void stop() {
 #ifdef VIOLETUSHER_LEDGER
-    if (ledger_) ledger_->leave();
+    if (ledger_) ledger_->transfer_leadership();
 #endif
     router_.stop();
   }
@@ -158,14 +158,14 @@
     std::signal(SIGXFSZ, SIG_IGN);  // a disk that takes no more is told to the ledger alone
     read_settings();
     violetusher::ledger::Service::Handler handler;
-    handler.on_servers_out = [this](const std::set<std::string>& out) { router_.hold_out(out); };
-    handler.note = [this](const std::string& event, const std::string& text) {
-      io_.renew();
+    handler.on_bans_changed = [this](const std::set<std::string>& out) { router_.set_bans(out); };
+    handler.log_event = [this](const std::string& event, const std::string& text) {
+      io_.update_time();
       say(Log::Level::kInfo, event, text);
     };
     handler.versions = [this] { return versions(); };
-    handler.trail = [this] { return trail_ ? trail_->last() : std::string(); };
-    handler.try_on = [this](violetusher::ledger::RolledFile& file) { return try_on(file); };
+    handler.trail = [this] { return trail_ ? trail_->last_position() : std::string(); };
+    handler.apply_staged = [this](violetusher::ledger::RolloutFile& file) { return try_on(file); };
     ledger_ =
         std::make_unique<violetusher::ledger::Service>(base, model, name_, std::move(handler));
     router_.use(*ledger_);
@@ -184,12 +184,12 @@
     read_settings();
     read_operator_file();
     const violetusher::core::config::Audit& audit = model.audits.begin()->second;
-    to_router_ = std::make_unique<Crossing>(base);
+    to_router_ = std::make_unique<LoopTaskQueue>(base);
     trail_ = std::make_unique<violetusher::audit::TrailFiles>(
         violetusher::audit::TrailSettings{audit.folder, name_, audit.size, audit.keep},
         [this](const std::string& text) {
           to_router_->post([this, text] {
-            io_.renew();
+            io_.update_time();
             say(Log::Level::kWarn, "audit-trail", "audit: " + text);
           });
         });
@@ -198,12 +198,12 @@
       all["operator"] = operator_digest_;
       return all;
     };
-    account_ =
-        std::make_unique<violetusher::core::audit::Account>(acts_on, [this](std::string body) {
-          if (trail_->gap_since_asked()) account_->say_all();
+    account_ = std::make_unique<violetusher::core::audit::ActivityRecorder>(
+        acts_on, [this](std::string body) {
+          if (trail_->consume_gap()) account_->write_full_view();
           trail_->write(std::move(body));
         });
-    router_.keep_account(*account_, audit.every);
+    router_.attach_activity_recorder(*account_, audit.every);
 #else
     (void)base;
     throw ConfigError(operator_file_ + ": 'audit': this program was built without it");
@@ -235,7 +235,7 @@
              : log.level == "warn" ? Log::Level::kWarn
                                    : Log::Level::kInfo);
     model_ = model;
-    router_.operate(std::move(model));
+    router_.apply_model(std::move(model));
   }
 
   /// Never ends the router: what goes wrong is logged, and all goes on as before. Files that can't
@@ -255,9 +255,9 @@
     }
     reload_alarm_->clear();
     reload_pause_ = 0;
-    router_.note_reload(result == Reload::kTaken);
+    router_.record_reload(result == Reload::kTaken);
 #ifdef VIOLETUSHER_LEDGER
-    if (ledger_) ledger_->look_again();
+    if (ledger_) ledger_->reread_rollout_files();
     act_on_files();
 #endif
   }
@@ -267,7 +267,7 @@
   /// names each router's own folders.
   std::map<std::string, std::string> versions() const {
     std::string out;
-    for (const std::string& id : router_.servers_out()) out += id + "\n";
+    for (const std::string& id : router_.banned_servers()) out += id + "\n";
     return {{"program", VIOLETUSHER_VERSION},
             {"settings", settings_digest_},
             {"list", router_.list_version()},
@@ -278,13 +278,13 @@
   void act_on_files() {
     read_settings();
     read_operator_file();
-    router_.acts_anew();
+    router_.record_serving_change();
   }
 
   /// The text itself; what it includes is not looked at.
   void read_operator_file() {
     std::string text;
-    if (read_plain_file(operator_file_, text).empty())
+    if (read_regular_file(operator_file_, text).empty())
       operator_digest_ = violetusher::core::ledger::label(text);
   }
 
@@ -292,7 +292,7 @@
   void read_settings() {
     const char* path = std::getenv("NODE_CONFIG");
     std::string text;
-    if (!path || !read_plain_file(path, text).empty()) return;
+    if (!path || !read_regular_file(path, text).empty()) return;
     using violetusher::core::ledger::Json;
     Json all = Json::parse(text, nullptr, false);
     if (!all.is_object() || !all.contains("settings") || !all["settings"].is_object()) return;
@@ -303,8 +303,8 @@
 
   /// What is staged beside a file is read as if it were in its place; only what this router can act
   /// on gets there. Why it can't; empty where it now does.
-  std::string try_on(violetusher::ledger::RolledFile& file) {
-    io_.renew();
+  std::string try_on(violetusher::ledger::RolloutFile& file) {
+    io_.update_time();
     try {
       namespace fs = std::filesystem;
       const char* settings = std::getenv("NODE_CONFIG");
@@ -320,7 +320,7 @@
     }
     if (!file.swap()) return file.path() + ": " + std::strerror(errno);
     bool taken = take_over() == Reload::kTaken;
-    router_.note_reload(taken);
+    router_.record_reload(taken);
     if (!taken) file.undo();
     if (taken) act_on_files();
     return taken ? "" : "the router did not take it over; its log says why";
@@ -342,9 +342,9 @@
         say(Log::Level::kWarn, "reload-needs-restart", "reload: audit differs: needs a restart");
       if (model.recorders != recorders_)
         say(Log::Level::kWarn, "reload-needs-restart", "reload: recorder differs: needs a restart");
-      router_.listen_besides(model);
+      router_.update_listeners(model);
       if (!router_.reload(config)) {
-        router_.listen_besides(model_);
+        router_.update_listeners(model_);
         return Reload::kRefused;
       }
       use(std::move(model));
@@ -382,9 +382,9 @@
   violetusher::core::config::Model model_;                                // in use
   std::unique_ptr<FlightFile> flight_;
 #ifdef VIOLETUSHER_LEDGER
-  std::unique_ptr<Crossing> to_router_;
+  std::unique_ptr<LoopTaskQueue> to_router_;
   std::unique_ptr<violetusher::audit::TrailFiles> trail_;
-  std::unique_ptr<violetusher::core::audit::Account> account_;
+  std::unique_ptr<violetusher::core::audit::ActivityRecorder> account_;
 #endif
   Router router_;
 #ifdef VIOLETUSHER_LEDGER
--- a/src/drill/wire.cpp
+++ b/src/drill/wire.cpp
@@ -15,12 +15,12 @@
 
 constexpr Words<Status, 9> kStatus{{{"completed", Status::Ok},
                                     {"errored", Status::Error},
-                                    {"saturated", Status::Full},
+                                    {"saturated", Status::Overloaded},
                                     {"overdue", Status::Timeout},
                                     {"refused_conn", Status::ConnectFailed},
                                     {"severed", Status::Reset},
                                     {"recalled", Status::Cancelled},
-                                    {"superseded", Status::Moot},
+                                    {"superseded", Status::NotSent},
                                     {"lookup_miss", Status::Miss}}};
 RequestId request_id(const Line& line) {
   return static_cast<RequestId>(
@@ -101,12 +101,12 @@
   struct Writer {
     std::string operator()(const Send& a) const {
       std::string line = "route Tid=" + std::to_string(a.id) + " Server=" + a.server;
-      if (a.patience > 0) line += " PatienceUs=" + std::to_string(a.patience);
+      if (a.attempt_timeout > 0) line += " PatienceUs=" + std::to_string(a.attempt_timeout);
       return line;
     }
     std::string operator()(const Refuse& a) const {
       std::string line = "deny Tid=" + std::to_string(a.id);
-      if (a.wait > 0) line += " WaitUs=" + std::to_string(a.wait);
+      if (a.retry_after > 0) line += " WaitUs=" + std::to_string(a.retry_after);
       return line;
     }
     std::string operator()(const Fail& a) const {
@@ -213,8 +213,8 @@
     r.write = line.flag("Mutates");
     emit(current().on_request(now_, r));
   } else if (name == "established") {
-    emit(current().on_first(now_, request_id(line), std::string(line.text("Server")),
-                            attempt_of(line), span(line, "LatencyUs", 0)));
+    emit(current().on_response_start(now_, request_id(line), std::string(line.text("Server")),
+                                     attempt_of(line), span(line, "LatencyUs", 0)));
   } else if (name == "verdict") {
     Outcome o;
     o.id = request_id(line);
@@ -223,11 +223,11 @@
     o.status = word(kStatus, line.text("Rc"), "Rc");
     o.latency = span(line, "LatencyUs", 0);
     o.attempt = attempt_of(line);
-    o.note = static_cast<int>(in_range(line.integer("Detail", 0), 0, 1'000, "Detail"));
+    o.cache_result = static_cast<int>(in_range(line.integer("Detail", 0), 0, 1'000, "Detail"));
     o.report = report_of(line);
     emit(current().on_outcome(now_, o));
   } else if (name == "left") {
-    emit(current().on_gone(now_, request_id(line)));
+    emit(current().on_client_disconnect(now_, request_id(line)));
   } else if (name == "ring") {
     emit(current().on_timer(
         now_, static_cast<std::uint64_t>(in_range(line.integer("Nonce"), 0, INT64_MAX, "Nonce"))));
--- a/src/kit/audit/command.cpp
+++ b/src/kit/audit/command.cpp
@@ -11,7 +11,7 @@
 namespace {
 
 using core::audit::Audit;
-using core::audit::Sighting;
+using core::audit::RouterReport;
 using core::audit::Version;
 using core::ledger::Json;
 
@@ -24,10 +24,10 @@
 };
 
 /// What a router's status says, as the audit takes it.
-Sighting sighting_of(const std::string& name, const Json& status) {
-  Sighting s;
+RouterReport sighting_of(const std::string& name, const Json& status) {
+  RouterReport s;
   s.router = name;
-  s.hall = status.value("hall", "");
+  s.zone = status.value("hall", "");
   s.disk_failed = status.value("stage", "") == "disk-failed";
   s.age = status.value("age_us", std::int64_t{-1});
   s.versions["ledger"] = {status.value("epoch", std::uint64_t{0}), "epoch", {}, "", false};
@@ -55,13 +55,13 @@
 
 Json json_of(const Audit& a, const AllKnown& known) {
   Json spreads = Json::object(), late = Json::array();
-  for (const auto& spread : a.spreads)
+  for (const auto& spread : a.distributions)
     for (const auto& [version, routers] : spread.versions) spreads[spread.kind][version] = routers;
   for (const auto& s : a.stragglers)
     late.push_back({{"router", s.router},
                     {"kind", s.kind},
-                    {"has", s.has},
-                    {"should", s.should},
+                    {"has", s.actual},
+                    {"should", s.expected},
                     {"cause", core::audit::name_of(s.cause)},
                     {"why", s.why}});
   Json heard = Json::array();
@@ -82,11 +82,11 @@
   std::printf("%zu of %zu routers act on what they should\n", a.current, a.routers);
   for (const auto& s : a.stragglers) {
     std::string line = s.router + ": " + std::string(core::audit::name_of(s.cause));
-    if (!s.kind.empty()) line += ", " + s.kind + " " + s.has + " instead of " + s.should;
+    if (!s.kind.empty()) line += ", " + s.kind + " " + s.actual + " instead of " + s.expected;
     if (!s.why.empty()) line += ": " + s.why;
     std::printf("  %s\n", line.c_str());
   }
-  for (const auto& spread : a.spreads) {
+  for (const auto& spread : a.distributions) {
     std::printf("%s:", spread.kind.c_str());
     for (const auto& [version, routers] : spread.versions)
       std::printf(" %s at %zu;", version.c_str(), routers);
@@ -101,15 +101,15 @@
     std::fprintf(stderr, "violetusher-kit: %s\n", error.c_str());
     return kWrongInput;
   }
-  std::vector<Sighting> sightings;
+  std::vector<RouterReport> sightings;
   std::vector<Said> all = ask_each(*fleet);
   AllKnown known = last_known(all);
   for (const Said& said : all) {
-    Sighting silent;
+    RouterReport silent;
     silent.router = said.router;
-    silent.silent = said.error;
+    silent.error = said.error;
     auto at = known.find({said.router, false});
-    if (!said.status && at != known.end()) silent.silent += "; " + text_of(at->second);
+    if (!said.status && at != known.end()) silent.error += "; " + text_of(at->second);
     sightings.push_back(said.status ? sighting_of(said.router, *said.status) : silent);
   }
   Audit a = core::audit::audit(sightings, kMayBeOld);
