--- a/tests/core/guard/guard_test.cpp
+++ b/tests/core/guard/invariants_test.cpp
@@ -1,5 +1,5 @@
 // Each invariant is told when it is broken, and only then.
-#include "core/guard/guard.hpp"
+#include "core/guard/invariants.hpp"
 
 #include <gtest/gtest.h>
 
@@ -20,47 +20,48 @@
     return all;
   }
   using Told = std::vector<Invariant>;
-  Guard guard_;
+  InvariantChecker guard_;
   std::vector<Violation> told_;
 };
 
 TEST_F(GuardTest, AnAttemptThatMayBeginIsNoViolation) {
-  guard_.begin({.request = 1, .server = "s", .told_until = 1'000'000, .deadline = 1'000'000});
-  guard_.begin({.request = 1, .server = "s", .copy = true});
-  guard_.begin({.request = 1, .server = "s", .copy = false, .copies_allowed = false});
+  guard_.on_attempt_start(
+      {.request = 1, .server = "s", .sent_deadline = 1'000'000, .deadline = 1'000'000});
+  guard_.on_attempt_start({.request = 1, .server = "s", .hedge = true});
+  guard_.on_attempt_start({.request = 1, .server = "s", .hedge = false, .hedges_allowed = false});
   EXPECT_EQ(told(), Told{});
   EXPECT_EQ(guard_.total(), 0u);
 }
 
 TEST_F(GuardTest, EachBrokenInvariantOfAnAttemptIsToldByName) {
-  guard_.begin({.request = 7, .server = "s", .wanted = false});
+  guard_.on_attempt_start({.request = 7, .server = "s", .server_available = false});
   EXPECT_EQ(told(), Told{Invariant::kSentToWanted});
-  guard_.begin({.request = 7, .server = "s", .open = false});
+  guard_.on_attempt_start({.request = 7, .server = "s", .request_open = false});
   EXPECT_EQ(told(), Told{Invariant::kSentForOpen});
-  guard_.begin({.request = 7, .server = "s", .copy = true, .copies_allowed = false});
+  guard_.on_attempt_start({.request = 7, .server = "s", .hedge = true, .hedges_allowed = false});
   EXPECT_EQ(told(), Told{Invariant::kOneCopy});
-  guard_.begin({.request = 7, .server = "s", .told_until = 150'001, .deadline = 0});
+  guard_.on_attempt_start({.request = 7, .server = "s", .sent_deadline = 150'001, .deadline = 0});
   EXPECT_EQ(told(), Told{Invariant::kTimeTold});
-  guard_.begin({.request = 7, .server = "s", .told_until = 150'000, .deadline = 0});
+  guard_.on_attempt_start({.request = 7, .server = "s", .sent_deadline = 150'000, .deadline = 0});
   EXPECT_EQ(told(), Told{});
   EXPECT_EQ(guard_.total(), 4u);
 }
 
 TEST_F(GuardTest, AnswersClosesAndStarts) {
-  guard_.answer(1, true);
-  guard_.close(CloseReason::kIdle, 0, 0);
-  guard_.close(CloseReason::kClientGone, 2, 1);
-  guard_.close(CloseReason::kStalled, 1, 1);
-  guard_.start(true);
+  guard_.on_final_response(1, true);
+  guard_.on_close(CloseReason::kIdle, 0, 0);
+  guard_.on_close(CloseReason::kClientClosed, 2, 1);
+  guard_.on_close(CloseReason::kStalled, 1, 1);
+  guard_.on_start(true);
   EXPECT_EQ(told(), Told{});
-  guard_.answer(1, false);
+  guard_.on_final_response(1, false);
   EXPECT_EQ(told(), Told{Invariant::kOneAnswer});
-  for (CloseReason reason : {CloseReason::kIdle, CloseReason::kRoom, CloseReason::kBuffers,
-                             CloseReason::kStopping, CloseReason::kCommandTime}) {
-    guard_.close(reason, 1, 3);
+  for (CloseReason reason : {CloseReason::kIdle, CloseReason::kEvicted, CloseReason::kBufferLimit,
+                             CloseReason::kStopping, CloseReason::kCommandTimeout}) {
+    guard_.on_close(reason, 1, 3);
     EXPECT_EQ(told(), Told{Invariant::kAnsweredBeforeClose}) << name_of(reason);
   }
-  guard_.start(false);
+  guard_.on_start(false);
   EXPECT_EQ(told(), Told{Invariant::kBansBeforeStart});
   EXPECT_EQ(guard_.closes()[static_cast<std::size_t>(CloseReason::kIdle)], 2u);
 }
--- a/tests/core/ledger/heal_test.cpp
+++ b/tests/core/ledger/reconfiguration_test.cpp
@@ -1,4 +1,4 @@
-#include "core/ledger/heal.hpp"
+#include "core/ledger/reconfiguration.hpp"
 
 #include <gtest/gtest.h>
 
@@ -7,8 +7,8 @@
 
 using Kind = Step::Kind;
 
-Member voter(std::uint64_t id, const char* name, const char* hall, bool gone = false) {
-  return {id, name, hall, true, gone};
+Member voter(std::uint64_t id, const char* name, const char* zone, bool gone = false) {
+  return {id, name, zone, true, gone};
 }
 
 TEST(LedgerHeal, AGroupOfOneGrowsOverHallsUntilItIsWhole) {
@@ -20,7 +20,7 @@
       order.push_back(step->name);
       auto it = std::find_if(candidates.begin(), candidates.end(),
                              [&](const auto& c) { return c.identity == step->identity; });
-      members.push_back({it->identity, it->name, it->hall, false, false});
+      members.push_back({it->identity, it->name, it->zone, false, false});
       candidates.erase(it);
     } else {
       ASSERT_EQ(step->kind, Kind::kPromote);
--- a/tests/core/ledger/probation_test.cpp
+++ b/tests/core/ledger/rejoin_check_test.cpp
@@ -1,4 +1,4 @@
-#include "core/ledger/probation.hpp"
+#include "core/ledger/rejoin_check.hpp"
 
 #include <gtest/gtest.h>
 
@@ -6,7 +6,9 @@
 namespace {
 
 using Verdict = Probation::Verdict;
-Probation::Answer says(Mark theirs, Mark of_this_one = {}) { return {theirs, of_this_one, {}}; }
+Probation::Answer says(LogPosition theirs, LogPosition of_this_one = {}) {
+  return {theirs, of_this_one, {}};
+}
 
 TEST(Probation, OfThreeBothOthersAnswerAndOfFiveThreeOfFour) {
   Probation three(1, {3, 3, 30}, {5, {1, 2, 3}}, 3, 6);
@@ -18,7 +20,7 @@
   EXPECT_EQ(three.verdict(), Verdict::kWait);
   three.heard(3, says({4, 3, 31}));
   EXPECT_EQ(three.verdict(), Verdict::kCleared);
-  EXPECT_EQ(three.floor(), (Mark{4, 3, 31}));
+  EXPECT_EQ(three.floor(), (LogPosition{4, 3, 31}));
   EXPECT_EQ(Probation(1, {}, {5, {1, 2, 3, 4, 5}}, 5, 6).needed(), 3u);
   EXPECT_EQ(Probation(1, {}, {5, {1, 2}}, 2, 6).needed(), 1u);
   EXPECT_EQ(Probation(1, {}, {5, {1}}, 1, 0).verdict(), Verdict::kCleared);
@@ -45,7 +47,7 @@
   EXPECT_EQ(p.verdict(), Verdict::kWait) << "half of the routers, but not both other voters";
   p.heard(3, says({5, 5, 399}));
   EXPECT_EQ(p.verdict(), Verdict::kCleared);
-  EXPECT_EQ(p.floor(), (Mark{5, 5, 400}));
+  EXPECT_EQ(p.floor(), (LogPosition{5, 5, 400}));
 }
 
 // Every fleet of up to seven voters, every majority that a promise may stand on with this one in
--- a/tests/core/ledger/rollout_test.cpp
+++ b/tests/core/ledger/rollout_test.cpp
@@ -17,7 +17,7 @@
 std::set<std::string> first_of(const Plan& plan, const std::vector<std::string>& names) {
   std::set<std::string> first;
   for (const auto& name : names)
-    if (among_first(plan, name, names)) first.insert(name);
+    if (is_selected(plan, name, names)) first.insert(name);
   return first;
 }
 
@@ -34,25 +34,25 @@
 }
 
 TEST(Plan, OneRollOutAtATimeAndNeverToFewer) {
-  Plan p = *begin({}, "a", 10).plan;
+  Plan p = *start_rollout({}, "a", 10).plan;
   EXPECT_EQ(p, (Plan{1, 10, "a", {}, 0}));
-  EXPECT_FALSE(begin(p, "b", 10).plan) << "another is under way";
+  EXPECT_FALSE(start_rollout(p, "b", 10).plan) << "another is under way";
   EXPECT_FALSE(widen(p, 10).plan);
   EXPECT_FALSE(widen(p, 101).plan);
   p = *widen(p, 100).plan;
   EXPECT_FALSE(widen(p, 100).plan);
-  EXPECT_FALSE(begin(p, "a", 10).plan) << "all have it";
-  EXPECT_FALSE(begin(p, "b", 0).plan);
-  EXPECT_FALSE(begin(p, std::string(kMostRolled + 1, 'b'), 10).plan);
-  EXPECT_EQ(*begin(p, "b", 10).plan, (Plan{2, 10, "b", "a", 0}));
+  EXPECT_FALSE(start_rollout(p, "a", 10).plan) << "all have it";
+  EXPECT_FALSE(start_rollout(p, "b", 0).plan);
+  EXPECT_FALSE(start_rollout(p, std::string(kMostRolled + 1, 'b'), 10).plan);
+  EXPECT_EQ(*start_rollout(p, "b", 10).plan, (Plan{2, 10, "b", "a", 0}));
 }
 
 TEST(Plan, BackIsBackHoweverOftenItIsAsked) {
-  Plan p = *begin(Plan{4, 100, "a", {}, 0}, "bad", 30).plan;
-  p = *back(p).plan;
+  Plan p = *start_rollout(Plan{4, 100, "a", {}, 0}, "bad", 30).plan;
+  p = *roll_back(p).plan;
   EXPECT_EQ(p, (Plan{6, 100, "a", "a", 0}));
-  EXPECT_FALSE(back(p).plan) << "a second time must not bring the bad one to everybody";
-  EXPECT_FALSE(back({}).plan);
+  EXPECT_FALSE(roll_back(p).plan) << "a second time must not bring the bad one to everybody";
+  EXPECT_FALSE(roll_back({}).plan);
 }
 
 RC_GTEST_PROP(Plan, TheFirstAreAsManyAsAskedForAndStayAmongThem, ()) {
@@ -78,52 +78,52 @@
 
 TEST(Adopter, TakesOneTextAfterTheOther) {
   Adopter a;
-  a.found("own");
+  a.set_current("own");
   EXPECT_FALSE(a.next(0)) << "nobody wants anything";
-  a.want(5, "one", 100);
+  a.set_target(5, "one", 100);
   EXPECT_FALSE(a.next(99));
   auto job = a.next(100);
   ASSERT_TRUE(job);
   EXPECT_EQ(job->text, "one");
-  a.want(6, "two", 100);
+  a.set_target(6, "two", 100);
   EXPECT_FALSE(a.next(200)) << "the first is under way";
-  a.ended(Adopter::End::kTaken, "", 300, 0);
+  a.finish(Adopter::End::kAdopted, "", 300, 0);
   EXPECT_EQ(a.has(), label("one"));
-  EXPECT_FALSE(a.there());
+  EXPECT_FALSE(a.at_target());
   EXPECT_EQ(a.next(300)->text, "two");
-  a.ended(Adopter::End::kTaken, "", 400, 0);
-  EXPECT_TRUE(a.there());
+  a.finish(Adopter::End::kAdopted, "", 400, 0);
+  EXPECT_TRUE(a.at_target());
   EXPECT_FALSE(a.next(500));
 }
 
 TEST(Adopter, RefusesATextOnceAndStays) {
   Adopter a;
-  a.want(5, "bad", 0);
+  a.set_target(5, "bad", 0);
   ASSERT_TRUE(a.next(0));
-  a.ended(Adopter::End::kRefused, "line 3", 0, 0);
+  a.finish(Adopter::End::kRefused, "line 3", 0, 0);
   EXPECT_FALSE(a.next(1'000'000'000));
   EXPECT_EQ(a.has(), "own");
   EXPECT_EQ(a.report()["why"], "line 3");
-  a.want(6, "good", 0);
+  a.set_target(6, "good", 0);
   EXPECT_TRUE(a.next(0));
-  a.ended(Adopter::End::kTaken, "", 0, 0);
-  a.want(7, "bad", 0);
+  a.finish(Adopter::End::kAdopted, "", 0, 0);
+  a.set_target(7, "bad", 0);
   EXPECT_TRUE(a.next(0)) << "asked for anew, tried anew: what was missing may be there by now";
-  a.ended(Adopter::End::kRefused, "line 3", 0, 0);
-  a.found(label("good"));
+  a.finish(Adopter::End::kRefused, "line 3", 0, 0);
+  a.set_current(label("good"));
   EXPECT_TRUE(a.next(0)) << "somebody has had a look at the files";
 }
 
 TEST(Adopter, TriesADiskAgainEverMoreSeldom) {
   Adopter a;
-  a.want(5, "one", 0);
+  a.set_target(5, "one", 0);
   Micros now = 0, waited = 0;
   for (int i = 0; i < 12; ++i) {
     ASSERT_TRUE(a.next(now)) << i;
-    a.ended(Adopter::End::kFailed, "full", now, 1'000'003ull * static_cast<unsigned>(i));
+    a.finish(Adopter::End::kFailed, "full", now, 1'000'003ull * static_cast<unsigned>(i));
     Micros from = now;
     while (!a.next(now)) now += 10'000;
-    a.ended(Adopter::End::kFailed, "full", now, 0);
+    a.finish(Adopter::End::kFailed, "full", now, 0);
     EXPECT_GE(now - from, std::min<Micros>(waited, Adopter::kMostWait));
     EXPECT_LE(now - from, Adopter::kMostWait * 3 / 2 + 10'000);
     waited = now - from;
@@ -133,11 +133,11 @@
 
 TEST(Adopter, WhatAHandHasChangedIsBroughtBack) {
   Adopter a;
-  a.want(5, "one", 0);
+  a.set_target(5, "one", 0);
   a.next(0);
-  a.ended(Adopter::End::kTaken, "", 0, 0);
-  a.found(label("somebody's"));
-  ASSERT_FALSE(a.there());
+  a.finish(Adopter::End::kAdopted, "", 0, 0);
+  a.set_current(label("somebody's"));
+  ASSERT_FALSE(a.at_target());
   EXPECT_EQ(a.next(0)->text, "one");
 }
 
--- a/tests/core/limit/limits_test.cpp
+++ b/tests/core/limit/limits_test.cpp
@@ -42,12 +42,12 @@
 }
 
 TEST(Limiter, BoundsRateAndFlightAndTellsWhenToComeBack) {
-  Limiter limit({.rate = 10, .burst = 2, .in_flight = 3, .come_back = 50'000});
+  Limiter limit({.rate = 10, .burst = 2, .in_flight = 3, .retry_after = 50'000});
   EXPECT_TRUE(limit.admit(0).admitted);
   EXPECT_TRUE(limit.admit(0).admitted);
   auto refused = limit.admit(0);
   EXPECT_FALSE(refused.admitted);
-  EXPECT_EQ(refused.come_back, 100'000);
+  EXPECT_EQ(refused.retry_after, 100'000);
   EXPECT_TRUE(limit.admit(100'000).admitted);
   EXPECT_FALSE(limit.admit(1'000'000).admitted);  // three in flight
   limit.release();
@@ -94,7 +94,7 @@
   int floor = 0;
   while (budget.take(0)) ++floor;
   EXPECT_EQ(floor, 10);  // one a second over ten seconds
-  for (int k = 0; k < 200; ++k) budget.on_first(1'000'000);
+  for (int k = 0; k < 200; ++k) budget.on_first_attempt(1'000'000);
   int more = 0;
   while (budget.take(1'000'000)) ++more;
   EXPECT_EQ(more, 20);
--- a/tests/core/limit/worth_test.cpp
+++ b/tests/core/limit/load_shedding_test.cpp
@@ -1,5 +1,5 @@
 // Shedding by worth, and budgets of a pool that fails, in made-up time.
-#include "core/limit/worth.hpp"
+#include "core/limit/load_shedding.hpp"
 
 #include <gtest/gtest.h>
 #include <rapidcheck/gtest.h>
@@ -7,7 +7,7 @@
 #include <deque>
 #include <random>
 
-#include "core/route/traffic.hpp"
+#include "core/route/traffic_policy.hpp"
 
 namespace violetusher::core {
 namespace {
@@ -21,9 +21,9 @@
   return compiled.model;
 }
 
-struct AllLive final : Traffic::PoolState {
+struct AllLive final : TrafficPolicy::PoolState {
   bool has_live(const std::string&) const override { return true; }
-  bool shares_repeats(const std::string&) const override { return true; }
+  bool shares_deduplication(const std::string&) const override { return true; }
 };
 
 struct Count {
@@ -33,11 +33,11 @@
 /// Ten seconds of one request a millisecond each for `types` in turn, each held for `held`.
 std::map<std::string, Count> play(const std::string& file, const std::vector<std::string>& types,
                                   Micros held, unsigned seed) {
-  Traffic traffic(model_of(file), nullptr);
+  TrafficPolicy traffic(model_of(file), nullptr);
   AllLive pools;
   std::mt19937 random(seed);
   std::map<std::string, Count> counts;
-  std::deque<std::pair<Micros, Traffic::Ticket>> open;
+  std::deque<std::pair<Micros, TrafficPolicy::Ticket>> open;
   for (Micros now = 1'000'000; now < 11'000'000; now += 500 + random() % 1000) {
     while (!open.empty() && open.front().first <= now) {
       traffic.end(now, open.front().second, false);
@@ -117,18 +117,18 @@
   RC_ASSERT(trouble.factor(now + 3'000'000) == 1);  // nothing seen for long: nothing is known
 }
 
-TEST(Traffic, ABudgetIsTightenedWhileItsPoolFailsAndOpensAgain) {
+TEST(TrafficPolicy, ABudgetIsTightenedWhileItsPoolFailsAndOpensAgain) {
   auto retries = [](bool fails) {
-    Traffic traffic(model_of("budget b { retries = 50%; }\npool p { budget = b; }\n"
-                             "route r { pool = p; }\n"),
-                    nullptr);
+    TrafficPolicy traffic(model_of("budget b { retries = 50%; }\npool p { budget = b; }\n"
+                                   "route r { pool = p; }\n"),
+                          nullptr);
     AllLive pools;
     std::map<int, int> allowed;  // by second
     for (int k = 0; k < 2000; ++k) {
       Micros now = 1'000'000 + k * 10'000;  // 100 a second for 20 s; it fails in the first ten
       auto d = traffic.admit(now, {"main", "t", "c", "k"}, false, pools);
       EXPECT_TRUE(d.admitted);
-      traffic.on_first(now, d.ticket);
+      traffic.on_first_attempt(now, d.ticket);
       traffic.on_attempt_end(now, d.ticket, fails && k < 1000);
       allowed[k / 1000] += traffic.may_retry(now, d.ticket, false);
       traffic.end(now, d.ticket, false);
--- a/tests/core/membership/start_times_test.cpp
+++ b/tests/core/membership/start_times_test.cpp
@@ -10,50 +10,52 @@
 
 TEST(StartTimes, GivesWhatItIsToldWhileClocksAgree) {
   StartTimes times;
-  EXPECT_EQ(times.of("a", 5), 5);  // nothing was heard yet
-  times.heard(kNow, kNow + kSecond);
-  EXPECT_EQ(times.of("a", kNow - 10 * kSecond), kNow - 10 * kSecond);
-  EXPECT_EQ(times.of("b", 0), 0);
+  EXPECT_EQ(times.start_of("a", 5), 5);  // nothing was heard yet
+  times.on_response(kNow, kNow + kSecond);
+  EXPECT_EQ(times.start_of("a", kNow - 10 * kSecond), kNow - 10 * kSecond);
+  EXPECT_EQ(times.start_of("b", 0), 0);
 }
 
 TEST(StartTimes, AStartThatIsStillToComeIsNow) {
   StartTimes times;
-  times.heard(kNow, 0);
-  EXPECT_EQ(times.of("a", kNow + kHour), kNow);
-  times.heard(kNow + 5 * kSecond, 0);
-  EXPECT_EQ(times.of("a", kNow + kHour), kNow);  // and stays so
+  times.on_response(kNow, 0);
+  EXPECT_EQ(times.start_of("a", kNow + kHour), kNow);
+  times.on_response(kNow + 5 * kSecond, 0);
+  EXPECT_EQ(times.start_of("a", kNow + kHour), kNow);  // and stays so
 }
 
 TEST(StartTimes, AClockThatWasSteppedBeforeTheStartMakesNoColdServerOld) {
   StartTimes times;
-  times.heard(kNow, kNow - kHour);  // ours is an hour ahead of discovery's
-  EXPECT_EQ(times.of("cold", kNow - kHour - 2 * kSecond), kNow - 2 * kSecond);
-  EXPECT_EQ(times.of("old", kNow - 3 * kHour), kNow - 2 * kHour);
+  times.on_response(kNow, kNow - kHour);  // ours is an hour ahead of discovery's
+  EXPECT_EQ(times.start_of("cold", kNow - kHour - 2 * kSecond), kNow - 2 * kSecond);
+  EXPECT_EQ(times.start_of("old", kNow - 3 * kHour), kNow - 2 * kHour);
 }
 
 TEST(StartTimes, AServerNewOnTheListWithAnOldStartCountsAsCold) {
   StartTimes times;
-  times.heard(kNow, 0);
-  EXPECT_EQ(times.of("first", kNow - kHour), kNow - kHour);  // of the first list all may be old
-  times.heard(kNow + 10 * kSecond, 0);
-  EXPECT_EQ(times.of("joins", kNow + 10 * kSecond - kHour), kNow + 10 * kSecond);
-  EXPECT_EQ(times.of("late", kNow - 20 * kSecond), kNow - 20 * kSecond);
-  EXPECT_EQ(times.of("first", kNow - kHour), kNow - kHour);
-  times.heard(kNow + 20 * kSecond, 0);
-  EXPECT_EQ(times.of("first", kNow + 20 * kSecond - kHour), kNow + 20 * kSecond);  // restarted
+  times.on_response(kNow, 0);
+  EXPECT_EQ(times.start_of("first", kNow - kHour),
+            kNow - kHour);  // of the first list all may be old
+  times.on_response(kNow + 10 * kSecond, 0);
+  EXPECT_EQ(times.start_of("joins", kNow + 10 * kSecond - kHour), kNow + 10 * kSecond);
+  EXPECT_EQ(times.start_of("late", kNow - 20 * kSecond), kNow - 20 * kSecond);
+  EXPECT_EQ(times.start_of("first", kNow - kHour), kNow - kHour);
+  times.on_response(kNow + 20 * kSecond, 0);
+  EXPECT_EQ(times.start_of("first", kNow + 20 * kSecond - kHour),
+            kNow + 20 * kSecond);  // restarted
 }
 
 TEST(StartTimes, ForgetsWhatIsNotListedAnyMore) {
   StartTimes times;
-  times.heard(kNow, 0);
-  times.of("a", kNow + kHour);
-  times.forget_unasked();
-  times.heard(kNow + kSecond, 0);
-  EXPECT_EQ(times.of("a", kNow + kHour), kNow);  // asked for since
-  times.forget_unasked();
-  times.forget_unasked();
-  times.heard(kNow + 2 * kSecond, 0);
-  EXPECT_EQ(times.of("a", kNow + kHour), kNow + 2 * kSecond);
+  times.on_response(kNow, 0);
+  times.start_of("a", kNow + kHour);
+  times.forget_unused();
+  times.on_response(kNow + kSecond, 0);
+  EXPECT_EQ(times.start_of("a", kNow + kHour), kNow);  // asked for since
+  times.forget_unused();
+  times.forget_unused();
+  times.on_response(kNow + 2 * kSecond, 0);
+  EXPECT_EQ(times.start_of("a", kNow + kHour), kNow + 2 * kSecond);
 }
 
 }  // namespace
--- a/tests/core/membership/calls_test.cpp
+++ b/tests/core/membership/watch_scheduler_test.cpp
@@ -1,5 +1,5 @@
 // When a router calls discovery, on a stepped clock. The rows of docs/design/membership.md.
-#include "core/membership/calls.hpp"
+#include "core/membership/watch_scheduler.hpp"
 
 #include <gtest/gtest.h>
 
@@ -20,59 +20,61 @@
 constexpr Micros kMs = 1000, kS = 1'000'000;
 
 /// A router's calls and a discovery that does what the test says.
-struct World final : Calls::Port {
-  explicit World(const Terms& t, std::uint64_t seed = 1) : terms(t), calls(*this, t, "7", seed) {
-    calls.born(now);
+struct World final : WatchScheduler::Port {
+  explicit World(const WatchTiming& t, std::uint64_t seed = 1)
+      : terms(t), calls(*this, t, "7", seed) {
+    calls.set_started(now);
   }
   struct Made {
     Micros at;
-    Calls::Place place;
+    WatchScheduler::Place place;
     std::string version;
     Micros wait;
   };
-  void start(Calls::Place place, const std::string& version, Micros wait) override {
+  void start(WatchScheduler::Place place, const std::string& version, Micros wait) override {
     made.push_back({now, place, version, wait});
     out[place] = made.back();
   }
-  void drop(Calls::Place place) override {
+  void cancel(WatchScheduler::Place place) override {
     out.erase(place);
     given_up.push_back(now);
   }
-  void gave_up() override { ++gave_ups; }
+  void on_watch_lost() override { ++gave_ups; }
 
   /// Lets time pass; what is due is done.
   void run(Micros until) {
-    while (auto next = calls.next()) {
+    while (auto next = calls.next_due()) {
       if (*next > until) break;
       now = std::max(now, *next);
-      calls.due(now);
+      calls.run_due(now);
     }
     now = until;
   }
-  Take answer(Calls::Place place, const std::string& seq, bool whole = false, bool sound = true) {
+  ListDecision answer(WatchScheduler::Place place, const std::string& seq, bool whole = false,
+                      bool sound = true) {
     EXPECT_EQ(out.count(place), 1u);
     out.erase(place);
-    return calls.answered(place, now,
-                          {.sound = sound, .list = true, .version = seq, .whole = whole});
+    return calls.on_response(place, now,
+                             {.sound = sound, .list = true, .version = seq, .whole = whole});
   }
-  void fail(Calls::Place place) {
+  void fail(WatchScheduler::Place place) {
     out.erase(place);
-    calls.answered(place, now, {});
+    calls.on_response(place, now, {});
   }
   /// A watch that waits, as it stands behind the first answer.
   void settle() {
     calls.watch(now);
     now += 5 * kMs;
-    answer(Calls::kWatch0, "7");
+    answer(WatchScheduler::kWatch0, "7");
   }
 
-  Terms terms;
+  WatchTiming terms;
   Micros now = 1000 * kS;
   std::vector<Made> made;
-  std::map<Calls::Place, Made> out;
+  std::map<WatchScheduler::Place, Made> out;
   std::vector<Micros> given_up;  ///< when calls were dropped
   int gave_ups = 0;
-  Calls calls;
+  WatchScheduler calls;
 };
 
 /// A router whose open calls all fall silent at once, at a discovery that answers each later call
@@ -82,7 +84,7 @@
   /// The longest that the module takes to ask again where no call is left.
   static constexpr Micros kModule = 3 * kS / 2;
 
-  Silence(const Terms& terms, std::uint64_t seed) : w(terms, seed) { w.settle(); }
+  Silence(const WatchTiming& terms, std::uint64_t seed) : w(terms, seed) { w.settle(); }
 
   /// How long before the change counts as told the router knows of it.
   Micros margin(Micros silent, Micros change) {
@@ -105,7 +107,7 @@
       }
       // Whatever else is allowed: 6 s after discovery had it, once a call was given up.
       if (!before && !given_up && !w.given_up.empty()) given_up = w.given_up.front();
-      if (w.calls.held() == "8") {
+      if (w.calls.version() == "8") {
         told = std::max(told, change);
         if (given_up) told = std::min(told, std::max(change + Told::kAfterFailure, given_up));
         return told - t;
@@ -121,7 +123,8 @@
   }
 
   void answer(Micros t, Micros change) {
-    for (auto place : {Calls::kWatch0, Calls::kWatch1, Calls::kWatch2, Calls::kFetch}) {
+    for (auto place : {WatchScheduler::kWatch0, WatchScheduler::kWatch1, WatchScheduler::kWatch2,
+                       WatchScheduler::kFetch}) {
       auto it = w.out.find(place);
       if (it == w.out.end()) continue;
       const World::Made& call = it->second;
@@ -135,11 +138,11 @@
   }
 
   World w;
-  std::map<Calls::Place, Micros> dead;
+  std::map<WatchScheduler::Place, Micros> dead;
   Micros again = 0;
 };
 
-Micros least_margin(const Terms& terms, Micros service) {
+Micros least_margin(const WatchTiming& terms, Micros service) {
   Micros least = 1000 * kS;
   for (std::uint64_t seed = 1; seed <= 6; ++seed)
     for (Micros silent = 100 * kMs; silent < 40 * kS; silent += 700 * kMs)
@@ -158,10 +161,10 @@
   // A live watch brings what is new after that time; the grace of drains is on top of it. An agent
   // answers at once.
   constexpr Micros kService = 250 * kMs, kStep = 10 * kMs;
-  EXPECT_GE(least_margin(terms_asked(), kService), -kService - kStep);
-  EXPECT_GE(least_margin(terms_pushed(kS / 2), kStep), -kS / 3);
+  EXPECT_GE(least_margin(polled_timing(), kService), -kService - kStep);
+  EXPECT_GE(least_margin(pushed_timing(kS / 2), kStep), -kS / 3);
   // Taken for silent 4 s after its wait, where what it misses counts after 2 s.
-  Terms late = terms_asked();
+  WatchTiming late = polled_timing();
   late.limit = 4 * kS;
   EXPECT_LT(least_margin(late, kService), -kS);
 }
@@ -169,7 +172,7 @@
 /// In quiet no call is given up: each goes on to its own end.
 TEST(Membership, NoCallIsGivenUpWhileDiscoveryAnswers) {
   for (std::uint64_t seed = 1; seed <= 20; ++seed) {
-    Silence one(terms_asked(), seed);
+    Silence one(polled_timing(), seed);
     Micros began = one.w.now;
     for (Micros t = began; t < began + 300 * kS; t += 10 * kMs) {
       one.w.run(t);
@@ -185,13 +188,13 @@
 /// grace for which a leaving price cache may be sent to, and there is no busy loop.
 TEST(Membership, WhereListsArePushedNoCallIsFarAwayWhateverFails) {
   for (Micros grace : {50 * kMs, 500 * kMs, 3 * kS}) {
-    World w(terms_pushed(grace));
+    World w(pushed_timing(grace));
     w.calls.watch(w.now);
     Micros last = w.now, longest = 0, began = w.now;
     std::size_t seen = w.made.size();
     for (int k = 0; w.now < began + 60 * kS; ++k) {
-      if (k % 3 == 0 && w.out.count(Calls::kWatch0)) w.fail(Calls::kWatch0);
-      auto next = w.calls.next();
+      if (k % 3 == 0 && w.out.count(WatchScheduler::kWatch0)) w.fail(WatchScheduler::kWatch0);
+      auto next = w.calls.next_due();
       ASSERT_TRUE(next);
       w.run(*next);
       if (w.made.size() == seen) continue;
@@ -207,30 +210,30 @@
 
 /// An agent slower than what a watch is given is heard all the same.
 TEST(Membership, ASlowAgentIsHeard) {
-  World w(terms_pushed(kS / 2));
+  World w(pushed_timing(kS / 2));
   w.calls.watch(w.now);
-  while (!w.out.count(Calls::kFetch)) w.run(*w.calls.next());
+  while (!w.out.count(WatchScheduler::kFetch)) w.run(*w.calls.next_due());
   w.run(w.now + 3 * kS / 2);
-  EXPECT_EQ(w.answer(Calls::kFetch, "8", true), Take::kYes);
-  EXPECT_EQ(w.calls.held(), "8");
-  EXPECT_EQ(w.calls.heard_at(), w.now);
+  EXPECT_EQ(w.answer(WatchScheduler::kFetch, "8", true), ListDecision::kApply);
+  EXPECT_EQ(w.calls.version(), "8");
+  EXPECT_EQ(w.calls.last_response_at(), w.now);
 }
 
 TEST(Membership, TheOlderWatchGoesOnToItsOwnEnd) {
-  World w(terms_asked());
+  World w(polled_timing());
   w.settle();
   Micros began = w.now;
-  while (w.out.size() < 2) w.run(*w.calls.next());
+  while (w.out.size() < 2) w.run(*w.calls.next_due());
   // A change comes on the older one: nothing is lost, and the newer one stays the only one.
-  EXPECT_EQ(w.answer(Calls::kWatch0, "8"), Take::kYes);
+  EXPECT_EQ(w.answer(WatchScheduler::kWatch0, "8"), ListDecision::kApply);
   EXPECT_EQ(w.out.size(), 1u);
-  EXPECT_EQ(w.answer(Calls::kWatch1, "8"), Take::kYes);
-  EXPECT_EQ(w.out.at(Calls::kWatch1).version, "8");
+  EXPECT_EQ(w.answer(WatchScheduler::kWatch1, "8"), ListDecision::kApply);
+  EXPECT_EQ(w.out.at(WatchScheduler::kWatch1).version, "8");
 
-  while (w.out.size() < 2) w.run(*w.calls.next());
-  Micros older = w.out.at(Calls::kWatch1).at;
+  while (w.out.size() < 2) w.run(*w.calls.next_due());
+  Micros older = w.out.at(WatchScheduler::kWatch1).at;
   // The newer fails: it is tried again while the older goes on, and nobody is told.
-  Calls::Place newer = Calls::kWatch0;
+  WatchScheduler::Place newer = WatchScheduler::kWatch0;
   w.fail(newer);
   EXPECT_EQ(w.out.size(), 1u);
   w.run(w.now + 3 * kS / 2);
@@ -240,13 +243,13 @@
   w.run(older + w.terms.wait + 100 * kMs);
   EXPECT_TRUE(w.given_up.empty());
   EXPECT_GT(w.now, began);
-  EXPECT_EQ(w.answer(Calls::kWatch1, "8"), Take::kYes);
+  EXPECT_EQ(w.answer(WatchScheduler::kWatch1, "8"), ListDecision::kApply);
   EXPECT_EQ(w.out.size(), 1u);
   EXPECT_EQ(w.out.count(newer), 1u);
   // The only one breaks: the module is told and asks when it wants to.
   w.fail(newer);
   EXPECT_EQ(w.gave_ups, 1);
-  EXPECT_FALSE(w.calls.next());
+  EXPECT_FALSE(w.calls.next_due());
 }
 
 /// The older one has no end when it should: the newer may be as silent. A call that is answered at
@@ -254,21 +257,21 @@
 /// the clock of 6 s. The same where the older breaks alone.
 TEST(Membership, ASilentOlderWatchProvesNothingOfTheNewer) {
   for (bool breaks : {false, true}) {
-    World w(terms_asked());
+    World w(polled_timing());
     w.settle();
-    World::Made older = w.out.at(Calls::kWatch0);
-    while (w.out.size() < 2) w.run(*w.calls.next());
+    World::Made older = w.out.at(WatchScheduler::kWatch0);
+    while (w.out.size() < 2) w.run(*w.calls.next_due());
     w.run(w.now + kS);
     if (breaks)
-      w.fail(Calls::kWatch0);
+      w.fail(WatchScheduler::kWatch0);
     else
       w.run(older.at + older.wait + w.terms.limit);
     ASSERT_EQ(w.out.size(), breaks ? 2u : 3u);
     EXPECT_TRUE(w.given_up.empty());
-    Calls::Place fresh = breaks ? Calls::kWatch0 : Calls::kWatch2;
+    WatchScheduler::Place fresh = breaks ? WatchScheduler::kWatch0 : WatchScheduler::kWatch2;
     EXPECT_EQ(w.out.at(fresh).at, w.now);
     EXPECT_EQ(w.out.at(fresh).wait, kMs);  // answered at once
-    EXPECT_EQ(w.answer(fresh, "7"), Take::kYes);
+    EXPECT_EQ(w.answer(fresh, "7"), ListDecision::kApply);
     EXPECT_EQ(w.out.size(), 1u);
     EXPECT_GT(w.out.at(fresh).wait, 20 * kS);
     EXPECT_EQ(w.gave_ups, 0);
@@ -277,13 +280,13 @@
 
 /// Both watches fail, one after the other, with the newer one about to be tried again.
 TEST(Membership, GivesUpOnceWhereBothWatchesEnd) {
-  World w(terms_asked());
+  World w(polled_timing());
   w.settle();
-  while (w.out.size() < 2) w.run(*w.calls.next());
-  w.fail(Calls::kWatch1);
-  w.fail(Calls::kWatch0);
+  while (w.out.size() < 2) w.run(*w.calls.next_due());
+  w.fail(WatchScheduler::kWatch1);
+  w.fail(WatchScheduler::kWatch0);
   EXPECT_EQ(w.gave_ups, 1);
-  EXPECT_FALSE(w.calls.next());
+  EXPECT_FALSE(w.calls.next_due());
 }
 
 /// Three hundred routers whose watches were answered in the same moment: the one service is not
@@ -292,7 +295,7 @@
   std::map<Micros, int> a_second;
   int calls = 0;
   for (std::uint64_t seed = 1; seed <= 300; ++seed) {
-    Silence one(terms_asked(), seed);
+    Silence one(polled_timing(), seed);
     World& w = one.w;
     std::size_t before = w.made.size();
     for (Micros t = w.now, end = t + 60 * kS; t < end; t += 10 * kMs) {
@@ -307,127 +310,128 @@
 }
 
 TEST(Membership, AnAnswerThatWasOvertakenChangesNothing) {
-  World w(terms_asked());
+  World w(polled_timing());
   w.settle();
   w.calls.fetch(w.now);
-  EXPECT_EQ(w.answer(Calls::kWatch0, "9"), Take::kYes);
-  EXPECT_EQ(w.answer(Calls::kFetch, "8", true), Take::kNo);
-  EXPECT_EQ(w.calls.held(), "9");
-  EXPECT_EQ(w.out.count(Calls::kWatch0), 1u);  // the watch goes on
-  EXPECT_EQ(w.out.at(Calls::kWatch0).version, "9");
+  EXPECT_EQ(w.answer(WatchScheduler::kWatch0, "9"), ListDecision::kApply);
+  EXPECT_EQ(w.answer(WatchScheduler::kFetch, "8", true), ListDecision::kIgnore);
+  EXPECT_EQ(w.calls.version(), "9");
+  EXPECT_EQ(w.out.count(WatchScheduler::kWatch0), 1u);  // the watch goes on
+  EXPECT_EQ(w.out.at(WatchScheduler::kWatch0).version, "9");
   // Versions that are no numbers tell nothing: then the order of the calls does.
   w.calls.fetch(w.now);
-  EXPECT_EQ(w.answer(Calls::kWatch0, "b"), Take::kYes);
-  EXPECT_EQ(w.answer(Calls::kFetch, "a", true), Take::kNo);
+  EXPECT_EQ(w.answer(WatchScheduler::kWatch0, "b"), ListDecision::kApply);
+  EXPECT_EQ(w.answer(WatchScheduler::kFetch, "a", true), ListDecision::kIgnore);
   w.calls.fetch(w.now);
-  EXPECT_EQ(w.answer(Calls::kFetch, "a", true), Take::kYes);
+  EXPECT_EQ(w.answer(WatchScheduler::kFetch, "a", true), ListDecision::kApply);
 }
 
 /// Discovery's count goes back. It is asked for all it has, and believed only when it says so
 /// again and again; then it is doubted, and asked once more half a minute later.
 TEST(Membership, AListOlderThanWhatIsHeldIsBelievedLate) {
-  World w(terms_asked());
+  World w(polled_timing());
   w.settle();
-  EXPECT_EQ(w.answer(Calls::kWatch0, "3"), Take::kNo);
+  EXPECT_EQ(w.answer(WatchScheduler::kWatch0, "3"), ListDecision::kIgnore);
   EXPECT_EQ(w.gave_ups, 1);
   for (int k = 0; k < 2; ++k) {
     w.calls.watch(w.now += kS);
-    EXPECT_EQ(w.out.at(Calls::kWatch0).version, "");  // all of it
-    EXPECT_EQ(w.answer(Calls::kWatch0, "3", true), Take::kNo);
-    EXPECT_EQ(w.calls.held(), "7");
+    EXPECT_EQ(w.out.at(WatchScheduler::kWatch0).version, "");  // all of it
+    EXPECT_EQ(w.answer(WatchScheduler::kWatch0, "3", true), ListDecision::kIgnore);
+    EXPECT_EQ(w.calls.version(), "7");
   }
   w.calls.watch(w.now += kS);
-  EXPECT_EQ(w.answer(Calls::kWatch0, "3", true), Take::kDoubted);
-  EXPECT_EQ(w.calls.held(), "3");
-  EXPECT_EQ(w.out.at(Calls::kWatch0).version, "3");
-  while (!w.out.count(Calls::kFetch)) w.run(*w.calls.next());
-  EXPECT_EQ(w.answer(Calls::kFetch, "3", true), Take::kYes);
+  EXPECT_EQ(w.answer(WatchScheduler::kWatch0, "3", true), ListDecision::kApplyUnconfirmed);
+  EXPECT_EQ(w.calls.version(), "3");
+  EXPECT_EQ(w.out.at(WatchScheduler::kWatch0).version, "3");
+  while (!w.out.count(WatchScheduler::kFetch)) w.run(*w.calls.next_due());
+  EXPECT_EQ(w.answer(WatchScheduler::kFetch, "3", true), ListDecision::kApply);
 }
 
 /// After a move the versions of the new place mean what they mean there.
 TEST(Membership, AnotherDiscoveryIsAskedForAllAndDoubtedWhereItIsBehind) {
   for (const char* seq : {"2", "7", "50"}) {
-    World w(terms_asked());
+    World w(polled_timing());
     w.settle();
-    w.calls.move(w.now);
+    w.calls.change_address(w.now);
     EXPECT_EQ(w.out.size(), 1u);
-    EXPECT_EQ(w.out.at(Calls::kWatch0).version, "");
-    EXPECT_EQ(w.answer(Calls::kWatch0, seq, true),
-              std::string(seq) == "2" ? Take::kDoubted : Take::kYes);
-    EXPECT_EQ(w.calls.held(), seq);
+    EXPECT_EQ(w.out.at(WatchScheduler::kWatch0).version, "");
+    EXPECT_EQ(w.answer(WatchScheduler::kWatch0, seq, true),
+              std::string(seq) == "2" ? ListDecision::kApplyUnconfirmed : ListDecision::kApply);
+    EXPECT_EQ(w.calls.version(), seq);
   }
 }
 
 /// What it has counts as told in 4 s. A first call that falls silent is not waited for alone.
 TEST(Membership, AnotherDiscoveryIsAskedTwiceWhereItSaysNothing) {
-  World w(terms_asked());
+  World w(polled_timing());
   w.settle();
-  w.calls.move(w.now);
+  w.calls.change_address(w.now);
   Micros moved = w.now;
   w.made.clear(), w.given_up.clear();
-  while (w.made.empty()) w.run(*w.calls.next());
+  while (w.made.empty()) w.run(*w.calls.next_due());
   EXPECT_LE(w.now - moved, 2 * kS);
   ASSERT_EQ(w.out.size(), 2u);
   EXPECT_EQ(w.made[0].version, "");
   EXPECT_TRUE(w.given_up.empty());  // the first may wait for its turn
-  EXPECT_EQ(w.answer(w.made[0].place, "9", true), Take::kYes);
-  EXPECT_EQ(w.calls.held(), "9");
+  EXPECT_EQ(w.answer(w.made[0].place, "9", true), ListDecision::kApply);
+  EXPECT_EQ(w.calls.version(), "9");
 }
 
 /// What of a list can be used is used, and the rest asked for again from the version before.
 TEST(Membership, AListOfWhichAPartIsUnusableIsAskedForAgain) {
-  World w(terms_pushed(kS / 2));
+  World w(pushed_timing(kS / 2));
   w.settle();
-  EXPECT_EQ(w.answer(Calls::kWatch0, "8", false, /*sound=*/false), Take::kYes);
-  EXPECT_EQ(w.calls.held(), "7");
+  EXPECT_EQ(w.answer(WatchScheduler::kWatch0, "8", false, /*sound=*/false), ListDecision::kApply);
+  EXPECT_EQ(w.calls.version(), "7");
   EXPECT_TRUE(w.out.empty());  // not at once: it would be a busy loop
   w.run(w.now + 200 * kMs);
-  EXPECT_EQ(w.out.at(Calls::kWatch0).version, "7");
-  EXPECT_EQ(w.answer(Calls::kWatch0, "8"), Take::kYes);
-  EXPECT_EQ(w.calls.held(), "8");
+  EXPECT_EQ(w.out.at(WatchScheduler::kWatch0).version, "7");
+  EXPECT_EQ(w.answer(WatchScheduler::kWatch0, "8"), ListDecision::kApply);
+  EXPECT_EQ(w.calls.version(), "8");
 }
 
 /// Discovery that does not hold watches is not asked in a busy loop, and its watch goes on.
 TEST(Membership, AWatchThatIsNotHeldIsNoBusyLoop) {
-  World w(terms_asked());
+  World w(polled_timing());
   w.settle();
   Micros began = w.now;
   std::size_t before = w.made.size();
   while (w.now < began + 10 * kS) {
-    if (w.out.count(Calls::kWatch0)) w.answer(Calls::kWatch0, "7");
-    Micros next = *w.calls.next();
+    if (w.out.count(WatchScheduler::kWatch0)) w.answer(WatchScheduler::kWatch0, "7");
+    Micros next = *w.calls.next_due();
     EXPECT_LE(next - w.now, 200 * kMs);
     w.run(next);
   }
   EXPECT_LE(w.made.size() - before, 101u);
-  EXPECT_EQ(w.answer(Calls::kWatch0, "8"), Take::kYes);  // what is new is followed at once
-  EXPECT_EQ(w.out.count(Calls::kWatch0), 1u);
+  EXPECT_EQ(w.answer(WatchScheduler::kWatch0, "8"),
+            ListDecision::kApply);  // what is new is followed at once
+  EXPECT_EQ(w.out.count(WatchScheduler::kWatch0), 1u);
 }
 
 TEST(Membership, ASingleFetchIsTriedAFewTimes) {
-  World w(terms_asked());
+  World w(polled_timing());
   w.calls.fetch(w.now);
   w.run(w.now + 60 * kS);
   EXPECT_EQ(w.made.size(), 5u);
-  EXPECT_FALSE(w.calls.next());
+  EXPECT_FALSE(w.calls.next_due());
 }
 
 /// One router with its decision module, which says when to watch again, at a discovery that answers
 /// within 50 ms or refuses at once.
-struct AskingRouter final : Calls::Port {
+struct AskingRouter final : WatchScheduler::Port {
   AskingRouter(const violetusher::Settings& settings, std::uint64_t seed, Micros now)
-      : module(settings, seed, now), calls(*this, terms_asked(), "7", seed) {
-    calls.born(now);
+      : module(settings, seed, now), calls(*this, polled_timing(), "7", seed) {
+    calls.set_started(now);
     take(now, module.start(now));
   }
-  void start(Calls::Place place, const std::string&, Micros wait) override {
+  void start(WatchScheduler::Place place, const std::string&, Micros wait) override {
     ++made;
     if (queued && wait <= kS) queued(place, made);
     serial[place] = made;
     out[place] = wait > kS ? at + wait : at;
   }
-  void drop(Calls::Place place) override { out.erase(place); }
-  void gave_up() override { failed = true; }
+  void cancel(WatchScheduler::Place place) override { out.erase(place); }
+  void on_watch_lost() override { failed = true; }
   void take(Micros now, const violetusher::Actions& actions) {
     for (const auto& action : actions) {
       if (auto* t = std::get_if<violetusher::Timer>(&action))
@@ -447,30 +451,31 @@
       std::vector<violetusher::Action> actions = module.on_timer(now, token);
       take(now, actions);
     }
-    calls.due(now);
-    for (auto place : {Calls::kWatch0, Calls::kWatch1, Calls::kWatch2}) {
+    calls.run_due(now);
+    for (auto place : {WatchScheduler::kWatch0, WatchScheduler::kWatch1, WatchScheduler::kWatch2}) {
       auto it = out.find(place);
       if (it == out.end() || (!down && it->second > now)) continue;
       if (!queued) answer(place, now, !down);
     }
     if (std::exchange(failed, false)) tell_module(now, violetusher::ListScope::Failed);
   }
-  void answer(Calls::Place place, Micros now, bool good) {
+  void answer(WatchScheduler::Place place, Micros now, bool good) {
     out.erase(place);
-    calls.answered(place, now, {.sound = good, .list = good, .version = "7"});
+    calls.on_response(place, now, {.sound = good, .list = good, .version = "7"});
     if (good) tell_module(now, violetusher::ListScope::Delta);
   }
 
   violetusher::Balancer module;
   std::multimap<Micros, std::uint64_t> timers;
-  std::map<Calls::Place, Micros> out;  ///< and when discovery answers, where it can
+  std::map<WatchScheduler::Place, Micros> out;  ///< and when discovery answers, where it can
   Micros at = 0;
   int made = 0;
-  std::map<Calls::Place, int> serial;  ///< of the calls made, the one that is out at a place
+  std::map<WatchScheduler::Place, int>
+      serial;  ///< of the calls made, the one that is out at a place
   /// Where set, calls that do not wait are answered by the test.
-  std::function<void(Calls::Place, int serial)> queued;
+  std::function<void(WatchScheduler::Place, int serial)> queued;
   bool failed = false;
-  Calls calls;
+  WatchScheduler calls;
 };
 
 /// Protects against: routers that start together at a discovery that takes 8 s for a call from
@@ -481,13 +486,13 @@
   violetusher::Settings settings;
   settings.classes.push_back({});
   settings.classes[0].name = "read";
-  settings.must_ask = true;
+  settings.list_on_demand = true;
   constexpr int kRouters = 32;
   constexpr Micros kEach = 8 * kS / kRouters, kMostWait = 3 * kS;
   settings.routers = kRouters;
   struct Queued {
     std::size_t router;
-    Calls::Place place;
+    WatchScheduler::Place place;
     int serial;
   };
   Micros began = 1000 * kS, now = began, busy_until = began;
@@ -496,7 +501,7 @@
   std::vector<std::unique_ptr<AskingRouter>> routers;
   for (std::size_t k = 0; k < kRouters; ++k) {
     routers.push_back(std::make_unique<AskingRouter>(settings, k + 1, began));
-    routers.back()->queued = [&, k](Calls::Place place, int serial) {
+    routers.back()->queued = [&, k](WatchScheduler::Place place, int serial) {
       bool full = static_cast<Micros>(queue.size() + 1) * kEach > kMostWait;
       if (full)
         refused.push_back({k, place, serial});
@@ -518,7 +523,7 @@
     queue.pop_front();
     busy_until = now + kEach;  // also for one that nobody waits for any more
     answer(call, true);
-    if (routers[call.router]->calls.heard_at() == now) told.insert(call.router);
+    if (routers[call.router]->calls.last_response_at() == now) told.insert(call.router);
   }
   std::printf("32 routers: all have their list after %.1f s\n",
               static_cast<double>(now - began) / 1e6);
@@ -532,7 +537,7 @@
   violetusher::Settings settings;
   settings.classes.push_back({});
   settings.classes[0].name = "read";
-  settings.must_ask = true;
+  settings.list_on_demand = true;
   settings.routers = 300;
   Micros began = 1000 * kS, longest = 0;
   for (std::uint64_t seed = 1; seed <= 100; ++seed) {
@@ -554,7 +559,7 @@
   violetusher::Settings settings;
   settings.classes.push_back({});
   settings.classes[0].name = "read";
-  settings.must_ask = true;
+  settings.list_on_demand = true;
   settings.routers = 300;
   Micros began = 1000 * kS;
   std::vector<std::unique_ptr<AskingRouter>> routers;
--- a/tests/core/ops/ops_test.cpp
+++ b/tests/core/ops/ops_test.cpp
@@ -5,39 +5,39 @@
 #include <algorithm>
 #include <nlohmann/json.hpp>
 
-#include "core/ops/call.hpp"
-#include "core/ops/figures.hpp"
-#include "core/ops/retune.hpp"
+#include "core/ops/metrics.hpp"
+#include "core/ops/operator_command.hpp"
+#include "core/ops/settings_update.hpp"
 
 namespace violetusher::core::ops {
 namespace {
 
-TEST(Call, TakesWhatIsMeantAndNothingElse) {
+TEST(OperatorCommand, TakesWhatIsMeantAndNothingElse) {
   std::string error;
-  EXPECT_EQ(parse_call("HEALTH", error)->kind, Call::Kind::kHealth);
-  EXPECT_EQ(parse_call(" dump ", error)->kind, Call::Kind::kDump);
-  auto out = parse_call("OFFLINE  s-1", error);
+  EXPECT_EQ(parse_command("HEALTH", error)->kind, OperatorCommand::Kind::kHealth);
+  EXPECT_EQ(parse_command(" dump ", error)->kind, OperatorCommand::Kind::kDump);
+  auto out = parse_command("OFFLINE  s-1", error);
   ASSERT_TRUE(out);
-  EXPECT_EQ(out->kind, Call::Kind::kOffline);
+  EXPECT_EQ(out->kind, OperatorCommand::Kind::kOffline);
   EXPECT_EQ(out->id, "s-1");
-  EXPECT_EQ(parse_call("ONLINE s-1", error)->kind, Call::Kind::kOnline);
+  EXPECT_EQ(parse_command("ONLINE s-1", error)->kind, OperatorCommand::Kind::kOnline);
   for (const std::string& line :
        {std::string(), std::string("HEALTHY"), std::string("HEALTH now"), std::string("OFFLINE"),
         std::string("OFFLINE a b"), std::string("ONLINE \x01"), "OFFLINE " + std::string(251, 'x'),
         std::string("GET / HTTP/1.1")}) {
     error.clear();
-    EXPECT_FALSE(parse_call(line, error)) << line;
+    EXPECT_FALSE(parse_command(line, error)) << line;
     EXPECT_FALSE(error.empty()) << line;
   }
 }
 
-TEST(Figures, CountsByClassAndNeverFalls) {
-  Figures figures;
+TEST(Metrics, CountsByClassAndNeverFalls) {
+  Metrics figures;
   figures.add_class("read");
-  figures.count("read", Figures::End::kSuccess);
-  figures.count("read", Figures::End::kOverload);
-  figures.count("read", Figures::End::kSuccess);
-  figures.count("unheard of", Figures::End::kError);
+  figures.count("read", Metrics::Outcome::kSuccess);
+  figures.count("read", Metrics::Outcome::kOverload);
+  figures.count("read", Metrics::Outcome::kSuccess);
+  figures.count("unheard of", Metrics::Outcome::kError);
   figures.add_class("read");  // told again by new settings
   figures.add_class("put");
   figures.count_reload(true);
@@ -112,7 +112,7 @@
   to.classes = {*any_class("new"), *any_class("a")};
   from.max_attempts = *rc::gen::inRange(1, 6);
   to.max_attempts = *rc::gen::inRange(1, 6);
-  Settings both = both_bind(from, to);
+  Settings both = strictest_of(from, to);
   RC_ASSERT(both.max_attempts == std::min(from.max_attempts, to.max_attempts));
   RC_ASSERT(both.classes.size() == 3u);
   auto a = std::find_if(both.classes.begin(), both.classes.end(),
@@ -130,17 +130,17 @@
   good.classes.resize(1);
   good.classes[0].name = "read";
   good.classes[0].deadline = 1;
-  EXPECT_EQ(why_unfit(good), "");
+  EXPECT_EQ(settings_error(good), "");
   Settings bad = good;
   bad.classes[0].deadline = 0;
-  EXPECT_NE(why_unfit(bad), "");
+  EXPECT_NE(settings_error(bad), "");
   bad = good;
   bad.max_attempts = 0;
-  EXPECT_NE(why_unfit(bad), "");
+  EXPECT_NE(settings_error(bad), "");
   bad = good;
   bad.classes.push_back(good.classes[0]);
-  EXPECT_NE(why_unfit(bad), "");
-  EXPECT_NE(why_unfit(Settings()), "");
+  EXPECT_NE(settings_error(bad), "");
+  EXPECT_NE(settings_error(Settings()), "");
 }
 
 }  // namespace
--- a/tests/daemon/audit/trail_files_test.cpp
+++ b/tests/daemon/audit/trail_files_test.cpp
@@ -25,7 +25,7 @@
 
 template <typename F>
 bool eventually(F&& f) {
-  for (int k = 0; k < net::test::kPatienceMs / 20; ++k) {
+  for (int k = 0; k < net::test::kTestTimeoutMs / 20; ++k) {
     if (f()) return true;
     std::this_thread::sleep_for(std::chrono::milliseconds(20));
   }
@@ -128,11 +128,11 @@
   auto files = open(16 << 20);
   for (int k = 0; k < 3000; ++k) files->write(body(k));
   ASSERT_TRUE(noted("the trail is not written"));
-  EXPECT_FALSE(files->gap_since_asked());  // there is no room for saying all anew yet
+  EXPECT_FALSE(files->consume_gap());  // there is no room for saying all anew yet
   fs::remove(folder_ + "/t");
   ASSERT_TRUE(noted("written again"));
-  ASSERT_TRUE(eventually([&] { return files->gap_since_asked(); }));
-  EXPECT_FALSE(files->gap_since_asked());
+  ASSERT_TRUE(eventually([&] { return files->consume_gap(); }));
+  EXPECT_FALSE(files->consume_gap());
   files->write(body(9999));
   files.reset();
   Trail trail = read();
--- a/tests/daemon/io_faults_test.cpp
+++ b/tests/daemon/io_faults_test.cpp
@@ -26,7 +26,7 @@
     configure();
     auto daemon = std::make_unique<Daemon>(folder_, Daemon::Options{.faults = true});
     EXPECT_NE(daemon->port(), 0) << daemon->log();
-    EXPECT_TRUE(within(kPatienceMs, [&] { return call("HEALTH") == "SUCCESS\r\n"; }));
+    EXPECT_TRUE(within(kTestTimeoutMs, [&] { return call("HEALTH") == "SUCCESS\r\n"; }));
     return daemon;
   }
   std::string call(const std::string& line) {
@@ -139,7 +139,7 @@
 TEST_F(IoFaults, ATornBanDoesNotBecomeAnotherServers) {
   discovery_.tell("s-12", second_.address(), "active");
   auto daemon = start();
-  ASSERT_TRUE(within(kPatienceMs, [&] { return figures().value("targets", 0) == 3; }));
+  ASSERT_TRUE(within(kTestTimeoutMs, [&] { return figures().value("targets", 0) == 3; }));
   // "OFFLINE s-1" of "OFFLINE s-12".
   faults(
       "write path=.bans short=11 times=1\nwrite path=.bans error=ENOSPC skip=1\n"
@@ -260,7 +260,7 @@
 }
 
 TEST_F(IoFaults, AClockSteppedBeforeTheStartMakesNoColdServerWarm) {
-  options_.cold_us = "60000000";
+  options_.slow_start_us = "60000000";
   std::int64_t now_ms = std::time(nullptr) * std::int64_t{1000};
   discovery_.started("s-1", second_.address(), now_ms - 2000);
   faults("clock step=1h\n");
--- a/tests/daemon/ledger/rescue_test.cpp
+++ b/tests/daemon/ledger/rescue_test.cpp
@@ -14,17 +14,17 @@
 
 class Memory final : public Storage {
  public:
-  Loaded load(Image& image, std::string& error) override {
+  LoadResult load(Image& image, std::string& error) override {
     image = this->image;
-    error = flaw_of(image);
-    return error.empty() ? Loaded::kGood : Loaded::kSpoilt;
+    error = image_error(image);
+    return error.empty() ? LoadResult::kOk : LoadResult::kCorrupt;
   }
   bool commit(const std::vector<Op>& ops) override {
     apply_ops(image, ops);
     return true;
   }
   std::string fingerprint() override { return "made " + std::to_string(made); }
-  bool set_aside() override {
+  bool quarantine() override {
     image = Image();
     ++made;
     return true;
@@ -34,7 +34,7 @@
 };
 
 struct Group {
-  struct One final : Node::Outside {
+  struct One final : Node::Environment {
     Group* group = nullptr;
     std::string name;
     Memory disk;
@@ -46,18 +46,18 @@
     }
     void reply(std::uint64_t, std::string) override {}
     void on_view(const View&) override {}
-    void note(const std::string&, const std::string&) override {}
+    void log_event(const std::string&, const std::string&) override {}
     void start() {
       NodeSettings s;
       s.fleet = "fleet";
       s.name = name;
-      s.hall = "h" + name;
+      s.zone = "h" + name;
       for (const auto& [other, one] : group->all)
         if (other != name) s.peers[other] = "h" + other;
-      s.keep = true;
-      s.pace.trust_after = 2'000'000;
-      s.pace.snapshot_entries = 8;
-      s.pace.snapshot_trailing = 4;
+      s.may_vote = true;
+      s.timing.trust_after = 2'000'000;
+      s.timing.snapshot_entries = 8;
+      s.timing.snapshot_trailing = 4;
       node = std::make_unique<Node>(disk, s, *this);
     }
   };
@@ -121,7 +121,7 @@
   EXPECT_FALSE(plan_rescue(Image(), "r3", 77, "made 1", error)) << "of nobody's files";
   auto plan = plan_rescue(g.all["r3"].disk.image, "r3", 77, "made 1", error);
   ASSERT_TRUE(plan) << error;
-  EXPECT_EQ(plan->told["epoch"], 2);
+  EXPECT_EQ(plan->report["epoch"], 2);
   ASSERT_TRUE(g.all["r3"].disk.commit(plan->ops));
   g.all["r3"].start();
   g.run(5'000'000);
@@ -152,7 +152,7 @@
 }
 
 // A vote that was given is known after a start: nobody else gets one in that term.
-TEST(Keeper, KnowsItsVoteAfterAStart) {
+TEST(Voter, KnowsItsVoteAfterAStart) {
   Group g;
   begin(g);
   g.run(1'000'000);
--- a/tests/daemon/ledger/rolled_file_test.cpp
+++ b/tests/daemon/ledger/rollout_file_test.cpp
@@ -1,5 +1,5 @@
 // A rolled file whose neighbours on disk can't be read or put back.
-#include "daemon/ledger/rolled_file.hpp"
+#include "daemon/ledger/rollout_file.hpp"
 
 #include <gtest/gtest.h>
 #include <unistd.h>
@@ -29,7 +29,7 @@
 };
 
 TEST_F(RolledFileTest, GoesToAnotherTextAndBackToItsOwn) {
-  RolledFile file(path_);
+  RolloutFile file(path_);
   EXPECT_EQ(file.label(), "own");
   ASSERT_EQ(file.stage("rolled\n"), "");
   ASSERT_TRUE(file.swap());
@@ -41,7 +41,7 @@
 }
 
 TEST_F(RolledFileTest, AnOwnTextThatCantBeReadIsNotWrittenOver) {
-  RolledFile file(path_);
+  RolloutFile file(path_);
   ASSERT_EQ(file.stage("rolled\n"), "");
   ASSERT_TRUE(file.swap());
   fs::rename(path_ + ".own", path_ + ".kept");
@@ -53,7 +53,7 @@
 }
 
 TEST_F(RolledFileTest, AnUndoThatFailedIsOwedUntilItIsDone) {
-  RolledFile file(path_);
+  RolloutFile file(path_);
   ASSERT_EQ(file.stage("rolled\n"), "");
   ASSERT_TRUE(file.swap());
   fs::rename(path_, path_ + ".kept");
--- a/tests/daemon/ledger/storage_test.cpp
+++ b/tests/daemon/ledger/storage_test.cpp
@@ -27,7 +27,7 @@
   Image read(SqliteStorage& storage) {
     Image image;
     std::string error;
-    EXPECT_EQ(storage.load(image, error), Loaded::kGood) << error;
+    EXPECT_EQ(storage.load(image, error), LoadResult::kOk) << error;
     return image;
   }
 
@@ -70,7 +70,7 @@
   EXPECT_EQ(image.term, 0u);
   EXPECT_EQ(image.log.size(), 1u);
   EXPECT_FALSE(storage.commit({append(3, 1, "gap")}) &&
-               storage.load(image, folder_) == Loaded::kGood)
+               storage.load(image, folder_) == LoadResult::kOk)
       << "a log with a gap is not given";
 }
 
@@ -95,7 +95,7 @@
     SqliteStorage storage(folder_);
     Image image;
     std::string error;
-    if (storage.load(image, error) != Loaded::kGood) {
+    if (storage.load(image, error) != LoadResult::kOk) {
       ++found;
       continue;
     }
@@ -123,7 +123,7 @@
   read(storage);
   EXPECT_NE(storage.fingerprint(), before);
   ASSERT_TRUE(storage.commit({Op::count(Op::Kind::kTerm, 5)}));
-  ASSERT_TRUE(storage.set_aside());
+  ASSERT_TRUE(storage.quarantine());
   EXPECT_EQ(read(storage).term, 0u);
   EXPECT_TRUE(fs::exists(folder_ + ".aside/ledger.db"));
 }
@@ -147,14 +147,14 @@
   std::string error;
   {
     SqliteStorage storage(folder_);
-    EXPECT_EQ(storage.load(image, error), Loaded::kUnreadable);
+    EXPECT_EQ(storage.load(image, error), LoadResult::kUnreadable);
     EXPECT_FALSE(error.empty());
     fs::remove(folder_ + "/ledger.db");
-    EXPECT_EQ(storage.load(image, error), Loaded::kGood) << error;
+    EXPECT_EQ(storage.load(image, error), LoadResult::kOk) << error;
   }
   std::ofstream(folder_ + "/ledger.db", std::ios::trunc) << std::string(8192, 'x');
   SqliteStorage again(folder_);
-  EXPECT_EQ(again.load(image, error), Loaded::kSpoilt) << error;
+  EXPECT_EQ(again.load(image, error), LoadResult::kCorrupt) << error;
 }
 
 }  // namespace
--- a/tests/daemon/process_support.hpp
+++ b/tests/daemon/process_support.hpp
@@ -91,7 +91,7 @@
     return WIFSIGNALED(status) ? -WTERMSIG(status) : WEXITSTATUS(status);
   }
   std::string log() const { return folder_.read(log_name_); }
-  bool says(const std::string& what, int limit_ms = kPatienceMs) const {
+  bool says(const std::string& what, int limit_ms = kTestTimeoutMs) const {
     return within(limit_ms, [&] { return log().find(what) != std::string::npos; });
   }
   /// Its port for clients, once it listens; 0 where it does not come to that.
--- a/tests/drill/wire_test.cpp
+++ b/tests/drill/wire_test.cpp
@@ -43,9 +43,9 @@
   ASSERT_EQ(s.report_fields.size(), 3u);
   EXPECT_EQ(s.report_fields[1], ReportField::Unknown);
   EXPECT_EQ(s.max_attempts, 5);
-  EXPECT_TRUE(s.second_copies);
-  EXPECT_FALSE(s.must_ask);
-  EXPECT_TRUE(s.aside);
+  EXPECT_TRUE(s.may_hedge);
+  EXPECT_FALSE(s.list_on_demand);
+  EXPECT_TRUE(s.cache_aside);
   EXPECT_EQ(s.origin_kind, "ledger");
   EXPECT_EQ(s.tenants[0].quota_per_s, 12.5);
 }
--- a/tests/kit/chaos/relay_test.cpp
+++ b/tests/kit/chaos/relay_test.cpp
@@ -2,7 +2,7 @@
 
 #include <gtest/gtest.h>
 
-#include "net/peers.hpp"
+#include "net/peer_transport.hpp"
 
 namespace violetusher::chaos {
 namespace {
@@ -19,7 +19,7 @@
     EXPECT_TRUE(to_.listen(*net::parse_address("127.0.0.1:0", true), error)) << error;
     relay_ = std::make_unique<Relay>(loop_, "127.0.0.1:" + std::to_string(to_.port()), state_,
                                      [this] { return ++draws_; });
-    from_ = std::make_unique<net::Peers>(
+    from_ = std::make_unique<net::PeerTransport>(
         io_, std::map<std::string, std::string>{{"to", relay_->address()}},
         [](const std::string&, std::uint64_t) {}, [this] { return ++draws_; });
   }
@@ -28,7 +28,7 @@
     loop_.run();
   }
   void send(const std::string& frame) {
-    io_.renew();
+    io_.update_time();
     from_->send("to", frame);
   }
 
@@ -38,9 +38,9 @@
   std::uint64_t draws_ = 0;
   LinkState state_;
   std::vector<std::string> heard_;
-  net::Peers to_;
+  net::PeerTransport to_;
   std::unique_ptr<Relay> relay_;
-  std::unique_ptr<net::Peers> from_;
+  std::unique_ptr<net::PeerTransport> from_;
 };
 
 TEST_F(RelayTest, CarriesCutsDelaysDoublesAndSpoils) {
--- a/tests/kit/rehearse/oracle_test.cpp
+++ b/tests/kit/rehearse/oracle_test.cpp
@@ -187,7 +187,7 @@
   f.h.told[1].at = sent - 560'000;
   EXPECT_EQ(f.broken(), "drains-kept ");
   Fixture again = f;  // told once more later: the first time counts
-  again.h.told.push_back({0, 0, Health::Gone, sent - 100'000});
+  again.h.told.push_back({0, 0, Health::Removed, sent - 100'000});
   EXPECT_EQ(again.broken(), "drains-kept ");
   Fixture back = f;
   back.h.told.push_back({0, 0, Health::Ready, sent - 1});
--- a/tests/kit/standin/told_test.cpp
+++ b/tests/kit/standin/told_test.cpp
@@ -36,7 +36,7 @@
   asked.watching(0, 0);
   asked.changed(3, Health::Draining, 2 * kS);
   EXPECT_EQ(at(asked), 22 * kS);
-  asked.changed(3, Health::Gone, 50 * kS);  // from then on as soon as it is made
+  asked.changed(3, Health::Removed, 50 * kS);  // from then on as soon as it is made
   EXPECT_EQ(at(asked), 50 * kS);
 }
 
--- a/tests/kit/standin/wire_test.cpp
+++ b/tests/kit/standin/wire_test.cpp
@@ -8,7 +8,7 @@
 namespace {
 
 using net::test::Client;
-using net::test::kPatienceMs;
+using net::test::kTestTimeoutMs;
 
 /// A fleet on a thread of its own; faults go on from the start.
 class RunningFleet {
--- a/tests/net/allocation_test.cpp
+++ b/tests/net/allocation_test.cpp
@@ -86,14 +86,15 @@
   LineServer a(reporting_cache), b(reporting_cache);
   RouterOptions options;
   options.dials = {a.address(), b.address()};
-  options.asked = true;  // an agent that can't be reached is called some times a second beside
+  options.list_on_demand =
+      true;  // an agent that can't be reached is called some times a second beside
   RunningRouter router(options);
   Client client(router.port());
   constexpr int kWarm = 800, kCounted = 2000;
   auto [depth, operated] = GetParam();
   if (operated) {
     auto model = roomy();
-    router.post([&](Router& r) { r.operate(model); });
+    router.post([&](Router& r) { r.apply_model(model); });
   }
   EXPECT_EQ(reads(client, 0, kWarm, depth), kWarm);
   std::uint64_t found = 0;
--- a/tests/net/call_result_test.cpp
+++ b/tests/net/call_result_test.cpp
@@ -9,18 +9,18 @@
 TEST(CallResult, AShortageOfThisMachineIsNoWordOnAnythingElse) {
   for (int error : {EMFILE, ENFILE, ENOBUFS, ENOMEM, ENOSPC, EDQUOT, EIO, EADDRNOTAVAIL,
                     ENETUNREACH, ENETDOWN, ENOLCK, EINTR})
-    EXPECT_EQ(result_of(error), CallResult::kNoResources) << error;
+    EXPECT_EQ(result_of(error), CallResult::kTransientError) << error;
   for (int error : {ENOENT, EACCES, EISDIR, EROFS, ECONNREFUSED, ETIMEDOUT, EHOSTUNREACH, EPIPE})
-    EXPECT_EQ(result_of(error), CallResult::kBroken) << error;
+    EXPECT_EQ(result_of(error), CallResult::kPermanentError) << error;
   EXPECT_EQ(result_of(EAGAIN), CallResult::kWouldBlock);
   EXPECT_EQ(result_of(0), CallResult::kDone);
 }
 
 TEST(CallResult, AConnectionWithoutItsNetworkIsBroken) {
   for (int error : {ENETUNREACH, EHOSTUNREACH, ETIMEDOUT, ECONNRESET, EPIPE})
-    EXPECT_EQ(connection_result_of(error), CallResult::kBroken) << error;
+    EXPECT_EQ(connection_result_of(error), CallResult::kPermanentError) << error;
   for (int error : {ENOBUFS, ENOMEM})
-    EXPECT_EQ(connection_result_of(error), CallResult::kNoResources) << error;
+    EXPECT_EQ(connection_result_of(error), CallResult::kTransientError) << error;
   EXPECT_EQ(connection_result_of(EAGAIN), CallResult::kWouldBlock);
 }
 
--- a/tests/net/client_side_test.cpp
+++ b/tests/net/client_side_test.cpp
@@ -8,7 +8,7 @@
 TEST(BadClients, AreTurnedAwayBeforeACacheServerSeesThem) {
   LineServer cache(good_cache);
   RunningRouter router({.dials = {cache.address()}});
-  const std::string long_line(protocol::kMaxLine + 10, 'x');
+  const std::string long_line(protocol::kMaxLineBytes + 10, 'x');
   const std::vector<std::string> bad = {
       "nonsense\r\n",
       "mg\r\n",
@@ -26,7 +26,7 @@
       "mg key v q O1 Pc=read,t=acme,d=100\r\n",
       "mg key v O1 Pc=read,c=put,t=acme,d=100\r\n",
       "mg key\rmg k v O1 Pc=read,t=acme,d=100\r\n",
-      "mg " + std::string(protocol::kMaxKey + 1, 'k') + " v O1 Pc=read,t=acme,d=100\r\n",
+      "mg " + std::string(protocol::kMaxKeyBytes + 1, 'k') + " v O1 Pc=read,t=acme,d=100\r\n",
       "ms key -5 O1 Pc=put,t=acme,d=100,k=1\r\n",
       "ms key 99999999999999999999 O1 Pc=put,t=acme,d=100,k=1\r\n",
       "ms key 60000000 O1 Pc=put,t=acme,d=100,k=1\r\n",
--- a/tests/net/discovery_test.cpp
+++ b/tests/net/discovery_test.cpp
@@ -71,7 +71,7 @@
     std::string version;
     int failed = 0;
   } heard;
-  core::membership::Terms terms = core::membership::terms_asked();
+  core::membership::WatchTiming terms = core::membership::polled_timing();
   for (Micros* t :
        {&terms.wait, &terms.renew_from, &terms.renew_to, &terms.limit_at_once, &terms.limit})
     *t /= 40;
@@ -186,30 +186,30 @@
 
 /// Discovery that was restored from a copy counts from anew: who leaves stays so, unless it has
 /// started anew, until it is confirmed.
-TEST(HostBook, ADoubtedListBringsNobodyBack) {
+TEST(HostRegistry, ADoubtedListBringsNobodyBack) {
   auto list = [](const std::string& seq, std::vector<std::string> entries) {
     return parse_host_list(host_list(seq, entries));
   };
   std::string a = host_entry("s-a", "127.0.0.1:1"), b = host_entry("s-b", "127.0.0.1:2"),
               c = host_entry("s-c", "127.0.0.1:3");
-  HostBook book(list("8", {a, host_entry("s-b", "127.0.0.1:2", "leaving"), c}));
-  book.take(list("9", {a, host_entry("s-b", "127.0.0.1:2", "leaving")}));  // s-c has left
+  HostRegistry book(list("8", {a, host_entry("s-b", "127.0.0.1:2", "leaving"), c}));
+  book.apply(list("9", {a, host_entry("s-b", "127.0.0.1:2", "leaving")}));  // s-c has left
   auto health = [&](const char* id) {
-    auto found = violetusher::Health::Gone;
+    auto found = violetusher::Health::Removed;
     book.each([&](const Host& h) {
       if (h.server.id == id) found = h.server.health;
     });
     return found;
   };
-  book.take(list("2", {a, b, c}), /*doubted=*/true);
+  book.apply(list("2", {a, b, c}), /*doubted=*/true);
   EXPECT_EQ(health("s-a"), violetusher::Health::Ready);
   EXPECT_EQ(health("s-b"), violetusher::Health::Draining);
   EXPECT_EQ(health("s-c"), violetusher::Health::Draining);
   std::string again = b;
   again.replace(again.find("\"born_ms\":0"), 11, "\"born_ms\":5");
-  book.take(list("2", {a, again, c}), true);
+  book.apply(list("2", {a, again, c}), true);
   EXPECT_EQ(health("s-b"), violetusher::Health::Ready);
-  book.take(list("2", {a, b, c}));
+  book.apply(list("2", {a, b, c}));
   EXPECT_EQ(health("s-c"), violetusher::Health::Ready);
 }
 
--- a/tests/net/held_io.hpp
+++ b/tests/net/held_io.hpp
@@ -23,7 +23,7 @@
   void hold_clients(bool on) { hold(clients_held_, on); }
 
   Micros now() const override { return io_.now(); }
-  void renew() override { io_.renew(); }
+  void update_time() override { io_.update_time(); }
   Socket listen(const sockaddr_in& address, std::string& error) override {
     return io_.listen(address, error);
   }
@@ -48,7 +48,7 @@
   }
   bool may_have_input(int socket) override { return io_.may_have_input(socket); }
   bool peer_ended(int socket) override { return io_.peer_ended(socket); }
-  void shut_sending(int socket) override { io_.shut_sending(socket); }
+  void shutdown_send(int socket) override { io_.shutdown_send(socket); }
   void close(int socket) override { io_.close(socket); }
   std::unique_ptr<net::Watch> watch(int socket, net::Watch::Target& target) override {
     bool dial = dials_.erase(socket) > 0;
@@ -57,8 +57,8 @@
     return std::make_unique<Held>(*this, socket, target,
                                   dial ? net::Watch::kWritable : net::Watch::kReadable);
   }
-  std::unique_ptr<Alarm> alarm(std::function<void()> rings) override {
-    return io_.alarm(std::move(rings));
+  std::unique_ptr<Alarm> alarm(std::function<void()> on_expiry) override {
+    return io_.alarm(std::move(on_expiry));
   }
   std::unique_ptr<HttpGet> http(HttpGet::Done done) override { return io_.http(std::move(done)); }
   void run_once() override { io_.run_once(); }
--- a/tests/net/long_value_test.cpp
+++ b/tests/net/long_value_test.cpp
@@ -61,7 +61,7 @@
   std::vector<violetusher::ReportField> fields;
   protocol::AnswerReader too_long(&fields);
   protocol::Answer answer;
-  std::string text = head_of("a", protocol::kMaxLong + 1) + "\r\n";
+  std::string text = head_of("a", protocol::kMaxStreamedValueBytes + 1) + "\r\n";
   std::string_view in = text;
   EXPECT_EQ(too_long.take(in, answer), protocol::AnswerReader::Got::Broken);
   protocol::AnswerReader no_end(&fields);
--- a/tests/net/net_support.hpp
+++ b/tests/net/net_support.hpp
@@ -23,7 +23,7 @@
 
 namespace violetusher::net::test {
 
-constexpr int kPatienceMs = 30'000;
+constexpr int kTestTimeoutMs = 30'000;
 
 inline sockaddr_in loopback(std::uint16_t port) {
   sockaddr_in a{};
@@ -41,7 +41,7 @@
   explicit Client(std::uint16_t port) : fd_(::socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0)) {
     sockaddr_in a = loopback(port);
     connected_ = ::connect(fd_.get(), reinterpret_cast<sockaddr*>(&a), sizeof a) == 0;
-    timeval limit{kPatienceMs / 1000, 0};
+    timeval limit{kTestTimeoutMs / 1000, 0};
     ::setsockopt(fd_.get(), SOL_SOCKET, SO_RCVTIMEO, &limit, sizeof limit);
     ::setsockopt(fd_.get(), SOL_SOCKET, SO_SNDTIMEO, &limit, sizeof limit);
   }
@@ -246,16 +246,16 @@
   bool retry_after = false;
   std::vector<std::string> more_tenants;  ///< besides acme
   std::string operator_listen;            ///< where operators call; none where empty
-  std::string scratch;                    ///< a folder that outlives the router
+  std::string state_directory;            ///< a folder that outlives the router
   int accept_fd = -1;                     ///< a listening socket that it inherits
-  bool asked = false;                     ///< lists are asked for, not pushed
+  bool list_on_demand = false;            ///< lists are asked for, not pushed
   bool may_cancel = true;
-  bool second_copies = true;
+  bool may_hedge = true;
   int streams = 1;  ///< of one connection
   std::string key_ttl_us = "5000000";
   std::string dial_timeout_us = "75000";
   int routers = 2;  ///< of the tier
-  std::string drain_grace_us = "0", cold_us = "0";
+  std::string drain_grace_us = "0", slow_start_us = "0";
 };
 
 inline std::string config_text(const RouterOptions& o) {
@@ -277,16 +277,16 @@
          std::to_string(o.sockets) + R"(},"known":)" + host_list("1", entries) +
          R"(,"settings":{"Balancers":)" + std::to_string(o.routers) +
          R"(,"Az":"a","FailureDomains":["a"],"TickUs":1000,)" + R"("MembershipMode":")" +
-         (o.asked ? "subscribe" : "automatic") + R"(","Classes":[)" +
+         (o.list_on_demand ? "subscribe" : "automatic") + R"(","Classes":[)" +
          one_class("read", "repeatable") + "," + one_class("put", "by_key") +
          R"(],"Tenants":[{"Name":"acme","Portion":1.0,"QuotaPerS":100000})" + tenants + R"(],)" +
          R"("Limits":{"MaxAttempts":5,"StreamsPerConn":)" + std::to_string(o.streams) +
          R"(,"DialTimeoutUs":)" + o.dial_timeout_us + R"(,"MayCancel":)" +
          (o.may_cancel ? "true" : "false") + R"(,"SecondCopies":)" +
-         (o.second_copies ? "true" : "false") + R"(,"RetryAfter":)" +
+         (o.may_hedge ? "true" : "false") + R"(,"RetryAfter":)" +
          (o.retry_after ? "true" : "false") + R"(,"MaxRetryAfterUs":1000000},)" +
          R"("Report":{"How":"inline","Fields":["load_share"]},"Rules":{"DrainGraceUs":)" +
-         o.drain_grace_us + R"(,"ColdShare":0.1,"ColdUs":)" + o.cold_us + "}}}";
+         o.drain_grace_us + R"(,"ColdShare":0.1,"ColdUs":)" + o.slow_start_us + "}}}";
 }
 
 /// A router in a thread of its own, which ends with the object.
@@ -296,7 +296,7 @@
   using Wrap = std::function<std::unique_ptr<Io>(SystemIo&)>;
   explicit RunningRouter(const RouterOptions& options, const Wrap& wrap = {})
       : config_(parse_config(config_text(options))) {
-    config_.scratch = options.scratch;
+    config_.state_directory = options.state_directory;
     config_.accept_fd = options.accept_fd;
     if (::pipe2(wake_, O_CLOEXEC | O_NONBLOCK) != 0) std::abort();
     std::promise<std::uint16_t> ready;
@@ -347,7 +347,7 @@
   }
   /// Waits until `holds` is true of the router.
   bool eventually(const std::function<bool(Router&)>& holds) {
-    for (int k = 0; k < kPatienceMs / 20; ++k) {
+    for (int k = 0; k < kTestTimeoutMs / 20; ++k) {
       bool yes = false;
       post([&](Router& r) { yes = holds(r); });
       if (yes) return true;
--- a/tests/net/operations_test.cpp
+++ b/tests/net/operations_test.cpp
@@ -4,7 +4,7 @@
 #include <fstream>
 #include <nlohmann/json.hpp>
 
-#include "net/host_book.hpp"
+#include "net/host_registry.hpp"
 #include "net_support.hpp"
 
 namespace violetusher::net::test {
@@ -48,7 +48,7 @@
 
 /// Waits until `holds` is true, looked at from outside of the router's loop.
 bool until(const std::function<bool()>& holds) {
-  for (int k = 0; k < kPatienceMs / 20; ++k) {
+  for (int k = 0; k < kTestTimeoutMs / 20; ++k) {
     if (holds()) return true;
     std::this_thread::sleep_for(std::chrono::milliseconds(20));
   }
@@ -138,21 +138,21 @@
   return h;
 }
 
-TEST(HostBook, ABanOutlivesWhatDiscoverySays) {
+TEST(HostRegistry, ABanOutlivesWhatDiscoverySays) {
   using violetusher::Health;
-  HostBook book({"1", true, {host("a", Health::Ready), host("b", Health::Ready)}});
-  EXPECT_EQ(book.set_out("a", true).hosts.at(0).server.health, Health::Draining);
-  EXPECT_TRUE(book.set_out("a", true).hosts.empty());
-  auto restarted = book.take({"2", false, {host("a", Health::Ready, 5)}});
+  HostRegistry book({"1", true, {host("a", Health::Ready), host("b", Health::Ready)}});
+  EXPECT_EQ(book.set_banned("a", true).hosts.at(0).server.health, Health::Draining);
+  EXPECT_TRUE(book.set_banned("a", true).hosts.empty());
+  auto restarted = book.apply({"2", false, {host("a", Health::Ready, 5)}});
   EXPECT_EQ(restarted.hosts[0].server.health, Health::Draining);
-  auto left = book.take({"3", false, {host("a", Health::Gone)}});
-  EXPECT_EQ(left.hosts[0].server.health, Health::Gone);
+  auto left = book.apply({"3", false, {host("a", Health::Removed)}});
+  EXPECT_EQ(left.hosts[0].server.health, Health::Removed);
   EXPECT_TRUE(book.known("a"));  // it can still be put back
   EXPECT_EQ(book.size(), 1u);
-  auto again = book.take({"4", true, {host("a", Health::Ready, 9), host("b", Health::Ready)}});
+  auto again = book.apply({"4", true, {host("a", Health::Ready, 9), host("b", Health::Ready)}});
   EXPECT_EQ(again.hosts[0].server.health, Health::Draining);
   EXPECT_EQ(again.hosts[1].server.health, Health::Ready);
-  HostList back = book.set_out("a", false);
+  HostList back = book.set_banned("a", false);
   ASSERT_EQ(back.hosts.size(), 1u);
   EXPECT_FALSE(back.whole);
   EXPECT_EQ(back.hosts[0].server.health, Health::Ready);
@@ -163,7 +163,7 @@
   Folder folder;
   LineServer first(good_cache), second(good_cache);
   RouterOptions options = with_operator({first.address(), second.address()});
-  options.scratch = folder.path;
+  options.state_directory = folder.path;
   auto old = std::make_unique<RunningRouter>(options);
   EXPECT_EQ(call(*old, "OFFLINE s-0"), "SUCCESS\r\n");
   RunningRouter fresh(options);
--- a/tests/net/operator_test.cpp
+++ b/tests/net/operator_test.cpp
@@ -35,7 +35,7 @@
 
 void operate(RunningRouter& router, const std::string& text) {
   auto model = model_of(text);
-  router.post([&](Router& r) { r.operate(model); });
+  router.post([&](Router& r) { r.apply_model(model); });
 }
 
 TEST(Operator, RoutesByPrefixAndClassToTheirPools) {
@@ -234,8 +234,8 @@
     std::string error;
     router.post([&](Router& r) {
       try {
-        r.listen_besides(model);
-        r.operate(model);
+        r.update_listeners(model);
+        r.apply_model(model);
       } catch (const ConfigError& e) {
         error = e.what();
       }
--- a/tests/net/peers_test.cpp
+++ b/tests/net/peer_transport_test.cpp
@@ -1,5 +1,5 @@
 // Links between routers, on sockets and one loop.
-#include "net/peers.hpp"
+#include "net/peer_transport.hpp"
 
 #include <gtest/gtest.h>
 #include <sys/socket.h>
@@ -12,8 +12,8 @@
 class PeersTest : public testing::Test {
  protected:
   PeersTest() : base_(event_base_new()), io_(base_.get()) {}
-  std::unique_ptr<Peers> make(const std::string& to, std::vector<std::string>& heard) {
-    auto peers = std::make_unique<Peers>(
+  std::unique_ptr<PeerTransport> make(const std::string& to, std::vector<std::string>& heard) {
+    auto peers = std::make_unique<PeerTransport>(
         io_, std::map<std::string, std::string>{{"other", to}},
         [&heard](const std::string& frame, std::uint64_t) { heard.push_back(frame); },
         [this] { return ++draws_; });
@@ -21,13 +21,13 @@
     EXPECT_TRUE(peers->listen(*parse_address("127.0.0.1:0", true), error)) << error;
     return peers;
   }
-  static std::string address(const Peers& peers) {
+  static std::string address(const PeerTransport& peers) {
     return "127.0.0.1:" + std::to_string(peers.port());
   }
   template <typename F>
   bool run_until(F&& done) {
-    io_.renew();
-    for (Micros end = io_.now() + 10 * kSecond; !done(); io_.renew()) {
+    io_.update_time();
+    for (Micros end = io_.now() + 10 * kSecond; !done(); io_.update_time()) {
       if (io_.now() > end) return false;
       io_.run_once();
     }
@@ -68,10 +68,10 @@
     again->set(20 * kMillisecond);
   });
   again->set(0);
-  io_.renew();
+  io_.update_time();
   Micros gone = io_.now();
   ASSERT_TRUE(run_until([&] { return io_.now() > gone + kSecond / 2; }));
-  b = std::make_unique<Peers>(
+  b = std::make_unique<PeerTransport>(
       io_, std::map<std::string, std::string>(),
       [&](const std::string& frame, std::uint64_t) { heard_b_.push_back(frame); },
       [this] { return ++draws_; });
@@ -84,7 +84,7 @@
   auto b = make("", heard_b_);
   auto a = make(address(*b), heard_a_);
   sockaddr_in to = *parse_address(address(*b));
-  std::string spoilt = Peers::wrap("spoilt");
+  std::string spoilt = PeerTransport::encode_frame("spoilt");
   spoilt.back() = 'T';
   for (const std::string& bytes : {std::string(64, '\xff'), spoilt}) {
     Fd fd(::socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0));
@@ -100,11 +100,12 @@
 }
 
 TEST_F(PeersTest, WhatComesInPiecesIsOneFrame) {
-  std::string bytes = Peers::wrap("first") + Peers::wrap("second"), in, frame;
+  std::string bytes = PeerTransport::encode_frame("first") + PeerTransport::encode_frame("second"),
+              in, frame;
   std::vector<std::string> frames;
   for (char c : bytes) {
     in.push_back(c);
-    while (Peers::unwrap(in, frame) == 1) frames.push_back(frame);
+    while (PeerTransport::decode_frame(in, frame) == 1) frames.push_back(frame);
   }
   EXPECT_EQ(frames, (std::vector<std::string>{"first", "second"}));
 }
--- a/tests/net/pool_set_test.cpp
+++ b/tests/net/pool_set_test.cpp
@@ -26,12 +26,12 @@
   }
 };
 
-std::shared_ptr<const core::Traffic> traffic(const std::string& text) {
+std::shared_ptr<const core::TrafficPolicy> traffic(const std::string& text) {
   auto compiled = core::config::compile("f", "version 1;\n" + text, [](auto&, auto&) {
     return core::config::Loaded{"", "", "none"};
   });
   for (const auto& d : compiled.diagnostics.list()) ADD_FAILURE() << compiled.sources.show(d);
-  return std::make_shared<core::Traffic>(std::move(compiled.model), nullptr);
+  return std::make_shared<core::TrafficPolicy>(std::move(compiled.model), nullptr);
 }
 
 struct Fixture {
--- a/tests/net/crossings_test.cpp
+++ b/tests/net/race_test.cpp
@@ -243,7 +243,7 @@
   LineServer one(reply(0)), two(reply(1));
   RunningRouter router({.dials = {one.address(), two.address()},
                         .aim_us = "600000",
-                        .second_copies = false,
+                        .may_hedge = false,
                         .streams = 4,
                         .routers = 300});  // one connection to each server
   Client first(router.port()), second(router.port());
@@ -406,8 +406,8 @@
   s.classes[0].name = "lookup";
   s.tenants = {{"gamma", 0.5, 10}, {"beta", 0.5, 20}};
   s.max_attempts = 2;
-  s.second_copies = false;
-  other.links.max_open = 7;
+  s.may_hedge = false;
+  other.connection_settings.max_open = 7;
   auto ask = [&](const std::string& type, const std::string& tenant) {
     Client client(router.port());
     client.send("mg k v Ox Pc=" + type + ",t=" + tenant + ",d=1000\r\n");
@@ -427,8 +427,8 @@
     EXPECT_EQ(now.classes.size(), 1u);
     EXPECT_EQ(now.tenants.size(), 2u);
     EXPECT_EQ(now.max_attempts, 2);
-    EXPECT_FALSE(now.second_copies);
-    EXPECT_EQ(r.most_open_requests(), 7u);
+    EXPECT_FALSE(now.may_hedge);
+    EXPECT_EQ(r.max_open_requests(), 7u);
   });
 }
 
@@ -448,7 +448,7 @@
   ASSERT_TRUE(router.eventually([&](Router&) { return waits > 1; }));
   EXPECT_LT(waits, 1000);  // pushed: by parts of the grace
   Config asked = router.config();
-  asked.settings.must_ask = true;
+  asked.settings.list_on_demand = true;
   router.post([&](Router& r) { EXPECT_TRUE(r.reload(asked)); });
   EXPECT_TRUE(router.eventually([&](Router&) { return waits > 10'000; }));
 }
--- a/tests/net/request_core_test.cpp
+++ b/tests/net/request_core_test.cpp
@@ -40,7 +40,7 @@
   };
 
   Micros now() const override { return time; }
-  void renew() override {}
+  void update_time() override {}
   Socket listen(const sockaddr_in&, std::string&) override { return make(); }
   Socket adopt(int, std::string&) override { return make(); }
   std::uint16_t port(int) const override { return 1; }
@@ -57,7 +57,7 @@
     return CallResult::kDone;
   }
   CallResult connected(int socket) override {
-    return ends[socket].dialled ? CallResult::kDone : CallResult::kBroken;
+    return ends[socket].dialled ? CallResult::kDone : CallResult::kPermanentError;
   }
   ssize_t recv(int socket, char* to, std::size_t size) override {
     End& e = ends[socket];
@@ -79,7 +79,7 @@
     return ends[socket].ended || !ends[socket].in.empty();
   }
   bool peer_ended(int socket) override { return ends[socket].ended; }
-  void shut_sending(int) override {}
+  void shutdown_send(int) override {}
   void close(int socket) override { ends[socket].open = false; }
   std::unique_ptr<Watch> watch(int socket, Watch::Target& target) override {
     ends[socket].target = &target;
@@ -112,14 +112,14 @@
   explicit World(RequestTable::Bounds bounds = {100, 1u << 20})
       : core({io, config, pools, timers, feed, clients, servers, recorder, figures, guard}, bounds),
         clients(io, core, {}),
-        servers(io, core, {.table = {.most = 2, .idle = 2, .longest_idle = 9 * kSecond}},
+        servers(io, core, {.table = {.max_open = 2, .mean_idle = 2, .max_idle_time = 9 * kSecond}},
                 &config.settings.report_fields, recorder),
         memory(1u << 20),
         ring({reinterpret_cast<std::byte*>(memory.data()), memory.size()}, "t", 1, io.time) {
-    servers.take_list(config.known);
+    servers.take_list(config.initial_hosts);
     std::string error;
     clients.listen({}, error);
-    recorder.use(&ring);
+    recorder.attach(&ring);
     core.on_alert([this](const char* what) { alerts.push_back(what); });
   }
   int client() {
@@ -147,8 +147,8 @@
   }
   void pass(Micros span) {
     io.time += span;
-    Timers::Due due;
-    while (timers.take(io.time, due)) core.expire(due);
+    Timers::Task due;
+    while (timers.pop_due(io.time, due)) core.expire(due);
   }
 
   FakeIo io;
@@ -157,8 +157,8 @@
   ModuleFeed feed;
   PoolSet pools{config, *this, 0};
   core::flight::Recorder recorder;
-  core::ops::Figures figures;
-  core::Guard guard;
+  core::ops::Metrics figures;
+  core::InvariantChecker guard;
   RequestCore core;
   ClientSide clients;
   ServerSide servers;
@@ -270,8 +270,8 @@
   OneOut w;
   w.io.time += 1'500'000;
   w.say(w.server, "VA 5 Oa\r\nprice\r\n");
-  Timers::Due due;
-  while (w.timers.take(w.io.time, due)) w.core.expire(due);
+  Timers::Task due;
+  while (w.timers.pop_due(w.io.time, due)) w.core.expire(due);
   EXPECT_EQ(w.answers(), "VA 5 Oa\r\nprice\r\n");
   w.expect_nothing_left();
 }
--- a/tests/net/server_side_test.cpp
+++ b/tests/net/server_side_test.cpp
@@ -98,9 +98,9 @@
 struct Driven : ServerSide::Handler {
   void on_attempt_written(RequestId, int, bool, Micros) override {}
   explicit Driven(const LineServer& cache, std::size_t per_server)
-      : Driven(cache, core::TablePart{.most = per_server, .idle = 8, .longest_idle = 9 * kSecond}) {
-  }
-  Driven(const LineServer& cache, const core::TablePart& table) {
+      : Driven(cache, core::ConnectionShare{
+                          .max_open = per_server, .mean_idle = 8, .max_idle_time = 9 * kSecond}) {}
+  Driven(const LineServer& cache, const core::ConnectionShare& table) {
     ServerSide::Limits limits;
     limits.table = table;
     side = std::make_unique<ServerSide>(io, *this, limits, &fields, recorder);
@@ -118,7 +118,7 @@
     side->send("s-0", id, 0, command, io.now() + 60 * kSecond);
   }
   bool eventually(const std::function<bool()>& holds) {
-    for (int k = 0; k < kPatienceMs; ++k) {
+    for (int k = 0; k < kTestTimeoutMs; ++k) {
       side->flush();
       event_base_loop(base.get(), EVLOOP_NONBLOCK);
       if (holds()) return true;
@@ -201,7 +201,7 @@
   for (int routers : {2, 300}) {
     LineServer cache(good_cache);
     // Price caches that keep idle connections for an hour: nothing but the part ends one here.
-    Driven driven(cache, core::part_of_table(routers, 3600 * kSecond));
+    Driven driven(cache, core::connection_share(routers, 3600 * kSecond));
     for (RequestId id : {1, 2}) {
       driven.send(id);
       ASSERT_TRUE(driven.eventually([&] { return driven.ended.count(id) == 1; }));
--- a/tests/net/timers_test.cpp
+++ b/tests/net/timers_test.cpp
@@ -9,7 +9,7 @@
 namespace violetusher::net {
 namespace {
 
-using Due = Timers::Due;
+using Task = Timers::Task;
 
 TEST(Timers, RingInTheOrderOfTheirTimesAndOfSetting) {
   Timers timers;
@@ -17,9 +17,9 @@
   timers.set(10, {.token = 4});
   EXPECT_EQ(timers.next(), 10);
   std::vector<std::uint64_t> rung;
-  Due due;
-  EXPECT_FALSE(timers.take(9, due));
-  while (timers.take(20, due)) rung.push_back(due.token);
+  Task due;
+  EXPECT_FALSE(timers.pop_due(9, due));
+  while (timers.pop_due(20, due)) rung.push_back(due.token);
   EXPECT_EQ(rung, (std::vector<std::uint64_t>{4, 1, 2, 3}));
   EXPECT_EQ(timers.next(), std::nullopt);
 }
@@ -33,8 +33,8 @@
   Timers::Handle b = timers.set(10, {.token = 2});  // in the same place
   timers.cancel(kept);
   EXPECT_EQ(timers.size(), 1u);
-  Due due;
-  ASSERT_TRUE(timers.take(10, due));
+  Task due;
+  ASSERT_TRUE(timers.pop_due(10, due));
   EXPECT_EQ(due.token, 2u);
   timers.cancel(b);  // has rung
   EXPECT_EQ(timers.size(), 0u);
@@ -65,8 +65,8 @@
       }
       default: {
         now += static_cast<Micros>(draws() % 20);
-        Due due;
-        while (timers.take(now, due)) {
+        Task due;
+        while (timers.pop_due(now, due)) {
           ASSERT_FALSE(model.empty());
           ASSERT_EQ(due.token, model.begin()->first.second);
           ASSERT_LE(model.begin()->first.first, now);
--- a/tests/policy/checker.hpp
+++ b/tests/policy/checker.hpp
@@ -23,7 +23,8 @@
       for (auto& [id, s] : servers_) {
         bool named = false;
         for (const Server& e : entries) named |= e.id == id;
-        if (!named && s.entry.health == Health::Ready) s.entry.health = Health::Gone, s.told = now;
+        if (!named && s.entry.health == Health::Ready)
+          s.entry.health = Health::Removed, s.told = now;
       }
     for (const Server& e : entries) {
       Known& s = servers_[e.id];
@@ -44,8 +45,8 @@
     Owed& o = owed_[r.id];
     Try& t = o.tries[r.attempt];
     t.out = false;
-    t.never = r.status == Status::Full || r.status == Status::ConnectFailed ||
-              r.status == Status::Moot || r.status == Status::Miss;
+    t.never = r.status == Status::Overloaded || r.status == Status::ConnectFailed ||
+              r.status == Status::NotSent || r.status == Status::Miss;
     if (r.finished) o.ended = true;
   }
 
@@ -107,7 +108,7 @@
     Known& to = servers_[s.server];
     if (o.ended) broke("1: sent after the end", s.id);
     for (const Try& t : o.tries) {
-      if (t.out && !set_.second_copies) broke("2: two copies out", s.id);
+      if (t.out && !set_.may_hedge) broke("2: two copies out", s.id);
       if (t.never || o.cls.effect == Effect::Repeatable) continue;
       const Server& from = servers_[t.server].entry;
       bool same = o.cls.group == Group::All ||
@@ -123,12 +124,14 @@
     if (to.entry.health != Health::Ready && now > to.told + set_.drain_grace)
       broke("3: sent to a leaving server", s.id);
     Micros age = now - to.entry.up_since;
-    if (to.entry.up_since > 0 && age < set_.cold_time) {
+    if (to.entry.up_since > 0 && age < set_.slow_start_window) {
       to.cold_sends.push_back(now);
       double count = 0;
-      for (Micros at : to.cold_sends) count += at > now - set_.tip_after && at >= to.entry.up_since;
-      double part = set_.cold_share + (1 - set_.cold_share) * double(age) / double(set_.cold_time);
-      double window = double(set_.tip_after) / 1e6;
+      for (Micros at : to.cold_sends)
+        count += at > now - set_.overload_window && at >= to.entry.up_since;
+      double part = set_.slow_start_min_fraction + (1 - set_.slow_start_min_fraction) *
+                                                       double(age) / double(set_.slow_start_window);
+      double window = double(set_.overload_window) / 1e6;
       if (count > set_.overload_factor * part * capacity_ * window + 2)
         broke("4: a cold server was pushed over by", s.id);
     }
--- a/tests/policy/drive_test.cpp
+++ b/tests/policy/drive_test.cpp
@@ -27,10 +27,10 @@
     const char* zones[] = {"a", "b", "c"};
     for (std::size_t k = 0; k < list.size(); ++k) list[k].zone = zones[k % 3], list[k].cell = k / 3;
     set.zones = {"a", "b", "c"};
-    set.second_copies = pick(2);
+    set.may_hedge = pick(2);
     set.cross_zone_charge = 0.1 * pick(2);
     set.report_fields = {ReportField::Utilization, ReportField::Queue};
-    set.must_ask = pick(2);
+    set.list_on_demand = pick(2);
     set.classes.resize(1);
     for (auto [name, effect, group] : {std::tuple{"keyed", Effect::Keyed, Group::All},
                                        {"zoned", Effect::Keyed, Group::Zone},
@@ -105,7 +105,7 @@
           tell(ListScope::Delta, {s});
           break;
         case 1:
-          s.health = Health::Gone;
+          s.health = Health::Removed;
           tell(ListScope::Delta, {s});
           break;
         case 2:
@@ -120,7 +120,7 @@
         case 4: {  // a complete list without those gone
           std::vector<Server> full;
           for (const Server& k : list)
-            if (k.health != Health::Gone) full.push_back(k);
+            if (k.health != Health::Removed) full.push_back(k);
           tell(ListScope::Full, full);
           break;
         }
@@ -131,7 +131,7 @@
           if (id > 1 && !ended[id - 1]) {
             ended[id - 1] = true;
             checker.gone(id - 1);
-            carry_out(b.on_gone(now, id - 1));
+            carry_out(b.on_client_disconnect(now, id - 1));
           }
           break;
         default:
@@ -149,11 +149,11 @@
   static Outcome ended_outcome(const Send& s, int attempt, std::uint64_t dice) {
     Status status = dice < 84   ? Status::Ok
                     : dice < 87 ? Status::Error
-                    : dice < 90 ? Status::Full
+                    : dice < 90 ? Status::Overloaded
                     : dice < 93 ? Status::Timeout
                     : dice < 95 ? Status::ConnectFailed
                     : dice < 98 ? Status::Reset
-                                : Status::Moot;
+                                : Status::NotSent;
     Outcome o = ended(s.id, s.server, status, attempt);
     o.report = {static_cast<double>(dice) / 100, static_cast<double>(dice % 7)};
     return o;
--- a/tests/policy/fleet_test.cpp
+++ b/tests/policy/fleet_test.cpp
@@ -212,11 +212,11 @@
   auto calm = play(tier, [](const std::string&) { return Status::Ok; });
   calm.go(0, 6);
   Balancer& b = tier.all[0];
-  std::string home = b.home("rice");
+  std::string home = b.preferred_server("rice");
   RequestId id = 0;
   for (int k = 0; id < 3; ++k) {
     std::string key = "rice-" + std::to_string(k);
-    if (b.home(key) != home) continue;
+    if (b.preferred_server(key) != home) continue;
     ASSERT_EQ(sent_to(b.on_request(6 * kS, read_of(++id, key))), home);
   }
   for (; id > 0; --id) b.on_outcome(6 * kS + 75 * kMs, ended(id, home, Status::ConnectFailed));
@@ -303,7 +303,7 @@
   router.start(0);
   router.on_list(0, ListScope::Full, list);
   std::map<std::string, int> keys;
-  for (int k = 0; k < kKeys; ++k) ++keys[router.home("key-" + std::to_string(k))];
+  for (int k = 0; k < kKeys; ++k) ++keys[router.preferred_server("key-" + std::to_string(k))];
   EXPECT_EQ(keys.size(), static_cast<std::size_t>(kCaches));
   for (const Server& server : list) {
     double share = keys[server.id] * sum / (server.weight * kKeys);
@@ -324,15 +324,15 @@
 /// (FLEET: N + 2 x root of N + 2 requests of mean work): a steady load of 0.8 of what the fleet can
 /// do, half as much again from the start of the cold server on, and one key in two of five
 /// requests.
-double worst_on_a_cold_server(int routers, double cold_share, double factor) {
+double worst_on_a_cold_server(int routers, double slow_start_min_fraction, double factor) {
   constexpr int kServers = 12;
   constexpr double kCapacity = 50;  // requests a second of one server
   Settings s = basic_settings();
   s.routers = routers;
-  s.cold_share = cold_share;
-  s.cold_time = 8 * kS;
+  s.slow_start_min_fraction = slow_start_min_fraction;
+  s.slow_start_window = 8 * kS;
   s.overload_factor = factor;
-  s.tip_after = 1500 * kMs;
+  s.overload_window = 1500 * kMs;
   std::vector<Server> servers = fleet(kServers);
   std::vector<Balancer> all;
   for (int r = 0; r < routers; ++r) {
@@ -365,9 +365,10 @@
   }
   double worst = 0;
   for (std::size_t first = 0, last = 0; last < got.size(); ++last) {
-    while (got[last] - got[first] > s.tip_after) ++first;
-    double age = static_cast<double>(got[last] - born) / static_cast<double>(s.cold_time);
-    double n = factor * kCapacity * std::min(1.0, cold_share + (1 - cold_share) * age) * 1.5;
+    while (got[last] - got[first] > s.overload_window) ++first;
+    double age = static_cast<double>(got[last] - born) / static_cast<double>(s.slow_start_window);
+    double n = factor * kCapacity *
+               std::min(1.0, slow_start_min_fraction + (1 - slow_start_min_fraction) * age) * 1.5;
     worst = std::max(worst, static_cast<double>(last - first + 1) / (n + 2 * std::sqrt(n) + 2));
   }
   return worst;
--- a/tests/policy/rules_test.cpp
+++ b/tests/policy/rules_test.cpp
@@ -12,7 +12,8 @@
 
 std::map<std::string, std::string> homes(const Balancer& b, int keys) {
   std::map<std::string, std::string> at;
-  for (int k = 0; k < keys; ++k) at["k" + std::to_string(k)] = b.home("k" + std::to_string(k));
+  for (int k = 0; k < keys; ++k)
+    at["k" + std::to_string(k)] = b.preferred_server("k" + std::to_string(k));
   return at;
 }
 
@@ -115,7 +116,7 @@
   for (RequestId id = 0; id < 200; ++id) {
     std::string server = serve(b, Micros(id) * 10 * kMs, id, "hot");
     used.insert(server);
-    at_home += server == b.home("hot");
+    at_home += server == b.preferred_server("hot");
   }
   EXPECT_GE(used.size(), 8u);  // the hot key is spread
   EXPECT_GE(at_home, 5);       // and comes back to its first server each window
@@ -127,7 +128,7 @@
   int away = 0;
   for (RequestId id = 0; id < 3000; ++id) {
     std::string key = "k" + std::to_string(id % 600);
-    away += serve(b, Micros(id) * 10 * kMs, id, key) != b.home(key);
+    away += serve(b, Micros(id) * 10 * kMs, id, key) != b.preferred_server(key);
   }
   EXPECT_LT(away, 60);
 }
@@ -138,7 +139,7 @@
   s.report_fields = {ReportField::Utilization};
   Balancer b(s, 7, 0);
   b.on_list(0, ListScope::Full, fleet(40));
-  std::string home = b.home("k1");
+  std::string home = b.preferred_server("k1");
   Micros now = 0;
   auto away = [&](double load) {
     int count = 0;
@@ -168,8 +169,8 @@
   RequestId id = 0;
   for (; id < 200; ++id, now += 10 * kMs) {
     std::string server = sent_to(b.on_request(now, read_of(id, "k" + std::to_string(id))));
-    std::string next = sent_to(
-        b.on_outcome(now, ended(id, server, server == list[0].id ? Status::Full : Status::Ok)));
+    std::string next = sent_to(b.on_outcome(
+        now, ended(id, server, server == list[0].id ? Status::Overloaded : Status::Ok)));
     if (!next.empty()) b.on_outcome(now, ended(id, next, Status::Ok, 1));
   }
   double part = b.live_fraction(list[0].id);
@@ -186,7 +187,7 @@
   b.on_list(0, ListScope::Full, fleet(12));
   for (RequestId id = 0; id < 2000; ++id) {
     std::string key = "k" + std::to_string(id / 2);
-    EXPECT_EQ(serve(b, Micros(id) * 10 * kMs, id, key), b.home(key));
+    EXPECT_EQ(serve(b, Micros(id) * 10 * kMs, id, key), b.preferred_server(key));
   }
 }
 
@@ -272,7 +273,7 @@
 /// and then must not clear it.
 TEST(Health, AServerThatHangsHalfTheTimeIsLeftOut) {
   Settings set = basic_settings();
-  set.second_copies = false;
+  set.may_hedge = false;
   Balancer b(set, 7, 0);
   auto list = fleet(4);
   b.on_list(0, ListScope::Full, list);
@@ -391,7 +392,7 @@
   RequestId id = 0;
   int refused = 0;
   for (; id < 600; ++id, now += 10 * kMs) {
-    refused += exhaust(b, now, id, "k" + std::to_string(id), Status::Full) == 0;
+    refused += exhaust(b, now, id, "k" + std::to_string(id), Status::Overloaded) == 0;
   }
   EXPECT_GT(refused, 100);
   int late_refused = 0;
@@ -519,7 +520,7 @@
     Balancer b(once_before ? once : repeatable, 7, 0);
     b.on_list(0, ListScope::Full, fleet(4));
     std::string first = sent_to(b.on_request(10, read_of(1, "k")));
-    b.retune(once_before ? repeatable : once);
+    b.update_settings(once_before ? repeatable : once);
     std::string second = sent_to(b.on_request(20, read_of(2, "k")));
     auto after_first = b.on_outcome(40 * kMs, ended(1, first, Status::Reset));
     auto after_second = b.on_outcome(41 * kMs, ended(2, second, Status::Reset));
@@ -538,11 +539,11 @@
   auto before = b.stats();
   Settings bad = basic_settings();
   bad.classes.clear();
-  EXPECT_THROW(b.retune(bad), std::invalid_argument);
+  EXPECT_THROW(b.update_settings(bad), std::invalid_argument);
   Settings more = basic_settings();
   more.classes.push_back(more.classes[0]);
   more.classes.back().name = "read-v2";
-  b.retune(more);
+  b.update_settings(more);
   EXPECT_EQ(b.stats().saved_seeds, before.saved_seeds);
   EXPECT_EQ(b.stats().servers, 4u);
   EXPECT_NE(sent_to(b.on_request(kS, read_of(99, "k1"))), "");
@@ -552,7 +553,7 @@
   Balancer b(with_effect(Effect::Once, Group::All), 7, 0);
   b.on_list(0, ListScope::Full, fleet(3));
   std::string server = sent_to(b.on_request(0, read_of(1, "k")));
-  std::string next = sent_to(b.on_outcome(1000, ended(1, server, Status::Full)));
+  std::string next = sent_to(b.on_outcome(1000, ended(1, server, Status::Overloaded)));
   EXPECT_NE(next, "");
   EXPECT_NE(next, server);
 }
@@ -615,7 +616,7 @@
   Micros now = 0;
   int refused = 0, retried = 0;
   for (RequestId id = 0; id < 800; ++id, now += 10 * kMs) {
-    int attempts = exhaust(b, now, id, "k" + std::to_string(id), Status::Full);
+    int attempts = exhaust(b, now, id, "k" + std::to_string(id), Status::Overloaded);
     if (id < 300) continue;
     refused += attempts == 0;
     retried += attempts > 1;
@@ -628,7 +629,7 @@
   Balancer b(basic_settings(), 7, 0);
   b.on_list(0, ListScope::Full, fleet(3));
   EXPECT_TRUE(b.on_outcome(0, ended(9, "10.0.0.1:80", Status::Ok)).empty());
-  EXPECT_TRUE(b.on_gone(0, 9).empty());
+  EXPECT_TRUE(b.on_client_disconnect(0, 9).empty());
   EXPECT_TRUE(b.on_timer(0, 12345).empty());
   EXPECT_TRUE(b.on_probe(0, "nobody", Status::Ok, 0, {1}).empty());
   std::string server = sent_to(b.on_request(0, read_of(1, "k")));
@@ -656,7 +657,7 @@
   auto list = fleet(4);
   b.on_list(0, ListScope::Full, list);
   list[0].health = Health::Draining;
-  list[1].health = Health::Gone;
+  list[1].health = Health::Removed;
   b.on_list(1, ListScope::Delta, {list[0], list[1]});
   b.on_list(2, ListScope::Failed, {});
   for (RequestId id = 0; id < 300; ++id) {
@@ -670,13 +671,13 @@
 
 TEST(List, RoutersDoNotAskTogetherAndAskAgainAfterFailure) {
   Settings s = basic_settings();
-  s.must_ask = true;
+  s.list_on_demand = true;
   std::set<Micros> starts;
   for (std::uint64_t seed = 0; seed < 20; ++seed) {
     Balancer b(s, seed, 0);
     auto timers = all<Timer>(b.start(0));
     ASSERT_EQ(timers.size(), 1u);
-    EXPECT_LT(timers[0].after, s.ask_within / 2);
+    EXPECT_LT(timers[0].after, s.list_refresh_interval / 2);
     starts.insert(timers[0].after / (100 * kMs));
   }
   EXPECT_GE(starts.size(), 10u);
@@ -691,12 +692,13 @@
     auto again = all<Timer>(b.on_list(now, ListScope::Failed, {}));
     ASSERT_EQ(again.size(), 1u);
     t = again[0];
-    EXPECT_LE(t.after, s.ask_within);
+    EXPECT_LE(t.after, s.list_refresh_interval);
   }
   now += t.after;
   Actions a = b.on_timer(now, t.token);
   b.on_list(now, ListScope::Full, fleet(3));
-  EXPECT_TRUE(b.on_timer(now + s.ask_within, all<Timer>(a)[0].token).empty());  // watching: silent
+  EXPECT_TRUE(b.on_timer(now + s.list_refresh_interval, all<Timer>(a)[0].token)
+                  .empty());  // watching: silent
 }
 
 // ---- settings ----
@@ -712,8 +714,10 @@
     return "";
   };
   EXPECT_NE(message([](Settings& s) { s.classes.clear(); }).find("classes"), std::string::npos);
-  EXPECT_NE(message([](Settings& s) { s.cold_time = -1; }).find("cold_time"), std::string::npos);
-  EXPECT_NE(message([](Settings& s) { s.cold_share = 1.5; }).find("cold_share"), std::string::npos);
+  EXPECT_NE(message([](Settings& s) { s.slow_start_window = -1; }).find("cold_time"),
+            std::string::npos);
+  EXPECT_NE(message([](Settings& s) { s.slow_start_min_fraction = 1.5; }).find("cold_share"),
+            std::string::npos);
   EXPECT_NE(message([](Settings& s) { s.classes[0].worth = 0.0 / 0.0; }).find("worth"),
             std::string::npos);
   EXPECT_EQ(message([](Settings& s) { s.zone = "elsewhere"; }), "");
@@ -740,7 +744,7 @@
       server = sent_to(b.on_outcome(now, ended(id, server, Status::Error, attempt)));
   }
   std::swap(s.tenants[0], s.tenants[1]);
-  b.retune(s);
+  b.update_settings(s);
   int modest = 0, greedy = 0;
   for (int k = 0; k < 300; ++k) {
     modest += ask(now, "modest").empty();
@@ -760,18 +764,18 @@
   b.on_list(0, ListScope::Full, fleet(6));
   auto first = all<Send>(b.on_request(10 * kMs, read_of(1, "k")));
   ASSERT_EQ(first.size(), 1u);
-  EXPECT_EQ(first[0].until, Send::kAnyTime);
+  EXPECT_EQ(first[0].send_before, Send::kAnyTime);
   auto second =
       all<Send>(b.on_outcome(30 * kMs, ended(1, first[0].server, Status::Reset, 0, 20 * kMs)));
   ASSERT_EQ(second.size(), 1u);
-  EXPECT_EQ(second[0].until, 408 * kMs);
+  EXPECT_EQ(second[0].send_before, 408 * kMs);
 }
 
 /// Protects against: a list older than what counts as told, as the pause after failed calls had
 /// grown past the 6 s after which all that discovery has does.
 TEST(List, PausesAfterFailedCallsDoNotGrow) {
   Settings s = basic_settings();
-  s.must_ask = true;
+  s.list_on_demand = true;
   Balancer b(s, 7, 0);
   b.start(0);
   Micros now = 0;
--- a/tests/policy/support.hpp
+++ b/tests/policy/support.hpp
@@ -14,25 +14,25 @@
   Settings s;
   ClassSettings read;
   read.name = "read";
-  read.aim = 150 * kMs;
+  read.latency_objective = 150 * kMs;
   read.deadline = 600 * kMs;
   s.classes.push_back(read);
   s.zone = "a";
   s.zones = {"a"};
   s.max_attempts = 4;
   s.may_cancel = true;
-  s.second_copies = true;
-  s.tick = 1 * kMs;
+  s.may_hedge = true;
+  s.timer_granularity = 1 * kMs;
   s.drain_grace = 500 * kMs;
-  s.cold_share = 0.3;
-  s.cold_time = 8 * kS;
-  s.ask_within = 10 * kS;
+  s.slow_start_min_fraction = 0.3;
+  s.slow_start_window = 8 * kS;
+  s.list_refresh_interval = 10 * kS;
   return s;
 }
 
 inline Settings aside_settings() {
   Settings s = basic_settings();
-  s.aside = true;
+  s.cache_aside = true;
   s.origin_kind = "ledger";
   return s;
 }
