--- a/src/policy/rules.cpp
+++ b/src/policy/rules.cpp
@@ -18,98 +18,116 @@
 constexpr Micros kSecond = 1'000'000;
 // Segments. 2^15 slots, 32 for a unit of weight: 1% of the interval for ten servers, 25% for 250.
 constexpr int kSlotBits = 15;
-constexpr int kSlots = 1 << kSlotBits;
-constexpr int kSlotsPerUnit = 32;
-constexpr double kMaxCoverage = 0.5;  // beyond, every server's slots are halved until they fit
-constexpr int kMaxDraws = 20'000;     // of one walk
+constexpr int kSlotCount = 1 << kSlotBits;
+constexpr int kSlotsPerWeightUnit = 32;
+constexpr double kMaxCoverageFraction =
+    0.5;                                  // beyond, every server's slots are halved until they fit
+constexpr int kMaxDrawsPerWalk = 20'000;  // of one walk
 // Saved seeds. One key may load a server with this multiple of a fair share before it is spread.
-constexpr double kKeyShare = 0.7;
+constexpr double kKeySpreadShareFactor = 0.7;
 // Requests of one key, in windows' worth of own traffic, behind each server it is spread over. With
 // one, a chance pair of a rare key made a second copy, and the fetches of them all jammed origins.
-constexpr double kWindows = 2;
-constexpr double kCopyErrors = 0.02;  // errors over the fleet past which no hot server adds copies
-constexpr int kMaxOverflow = 4;       // landings passed over because the server is at its limit
-constexpr double kInFlightFactor = 2.0;  // own attempts out, at most, over the mean server's
-constexpr double kInFlightFloor = 3.0;   // and never under this many
+constexpr double kRequestsPerReplica = 2;
+constexpr double kMaxSpreadErrorFraction =
+    0.02;  // errors over the fleet past which no hot server adds copies
+constexpr int kMaxInFlightLimitSkips =
+    4;  // landings passed over because the server is at its limit
+constexpr double kInFlightLimitFactor = 2.0;  // own attempts out, at most, over the mean server's
+constexpr double kInFlightLimitBase = 3.0;    // and never under this many
 // Nearness: a key is kept in the own zone once a copy there saves more worth than it costs.
 // Worth lost by one more copy, in requests: its miss, and what it adds to a jammed origin.
-constexpr double kMissCost = 2.0;
+constexpr double kMissCostInRequests = 2.0;
 // One request tells less of a key than two do.
-constexpr double kOnce = 1.5;
-constexpr double kMaxNearPull = 0.9;       // the part of foreign segments a popular key passes over
-constexpr std::size_t kMaxTracked = 4096;  // keys counted per generation, also under a scan
-constexpr Micros kGeneration = 10 * kSecond;
-// Server health. A failure adds its weight; dead at the threshold, doubt halves every kDoubtHalf.
-constexpr double kDeadAt = 2.0;
-constexpr double kUsualFailure = 0.05;  // failures per attempt on a quiet day, at least
-constexpr double kFailureGain = 0.04;   // weight of one attempt in the fleet's failure rates
-constexpr double kDoubtHalf = 8.0 * kSecond;
-constexpr double kOwnGain = 0.1;          // weight of one attempt in a server's own failure rates
-constexpr Micros kDeadFirst = kSecond;    // the first time out of service
-constexpr Micros kDeadMax = 8 * kSecond;  // doubled up to this
-constexpr int kCutAfter = 3;              // servers of a zone, one after another
-constexpr Micros kReturnRamp = 3 * kSecond;
-constexpr double kReturnFrom = 0.2;
-constexpr double kSureOf = 1.3;      // of kDeadAt, the most that one failure weighs
-constexpr double kDoubtAll = 0.7;    // more of the reachable servers judged dead: disbelieve
-constexpr double kSlowAlpha = 0.25;  // weight of one latency in a server's mean log ratio
-constexpr double kSlowHalf = 8.0 * kSecond;
-constexpr double kSlowFrom = 1.8;    // latency ratio from which a server counts as slow
-constexpr double kLiveFloor = 0.06;  // a slow server keeps this part, so that it is still seen
-constexpr double kHotFloor = 0.4;    // a hot one more: each swing of keys costs misses
-constexpr double kHotUtil = 0.85;    // busy cores from which a report makes a server hot
-constexpr double kHotMargin = 0.05;  // above the mean of the fleet
-constexpr double kFullGives = 0.2;   // of the rest, given up for one refusal as full
-constexpr double kFullHalf = 15.0 * kSecond;
-constexpr double kHotRate = 1.2;    // shedding per second and unit of heat, as exponent
-constexpr double kCoolRate = 0.12;  // return per second, as exponent
-constexpr double kCoolSpan = 2;     // seconds one report may stand for
+constexpr double kSeenOnceCostFactor = 1.5;
+constexpr double kMaxZoneAffinityFraction =
+    0.9;  // the part of foreign segments a popular key passes over
+constexpr std::size_t kMaxTrackedKeys = 4096;  // keys counted per generation, also under a scan
+constexpr Micros kKeyCountGeneration = 10 * kSecond;
+// Server health. A failure adds its weight; dead at the threshold, doubt halves every
+// kFailureScoreHalfLife.
+constexpr double kEjectionFailureScore = 2.0;
+constexpr double kMinBaselineFailureFraction =
+    0.05;  // failures per attempt on a quiet day, at least
+constexpr double kFleetFailureRateGain =
+    0.04;  // weight of one attempt in the fleet's failure rates
+constexpr double kFailureScoreHalfLife = 8.0 * kSecond;
+constexpr double kServerFailureRateGain =
+    0.1;  // weight of one attempt in a server's own failure rates
+constexpr Micros kBaseEjectionTime = kSecond;     // the first time out of service
+constexpr Micros kMaxEjectionTime = 8 * kSecond;  // doubled up to this
+constexpr int kZoneEjectionServers = 3;           // servers of a zone, one after another
+constexpr Micros kRecoveryRampTime = 3 * kSecond;
+constexpr double kRecoveryRampMinFraction = 0.2;
+constexpr double kMaxTimeoutWeightFactor =
+    1.3;  // of kEjectionFailureScore, the most that one failure weighs
+constexpr double kPanicEjectedFraction =
+    0.7;                                    // more of the reachable servers judged dead: disbelieve
+constexpr double kLatencyRatioGain = 0.25;  // weight of one latency in a server's mean log ratio
+constexpr double kLatencyRatioHalfLife = 8.0 * kSecond;
+constexpr double kSlowLatencyRatio = 1.8;  // latency ratio from which a server counts as slow
+constexpr double kMinLiveFraction =
+    0.06;  // a slow server keeps this part, so that it is still seen
+constexpr double kMinLoadLiveFraction = 0.4;   // a hot one more: each swing of keys costs misses
+constexpr double kOverloadUtilization = 0.85;  // busy cores from which a report makes a server hot
+constexpr double kOverloadUtilizationMargin = 0.05;  // above the mean of the fleet
+constexpr double kRejectionPenaltyFraction = 0.2;  // of the rest, given up for one refusal as full
+constexpr double kRejectionPenaltyHalfLife = 15.0 * kSecond;
+constexpr double kLoadShedRatePerSecond = 1.2;  // shedding per second and unit of heat, as exponent
+constexpr double kLoadRecoveryRatePerSecond = 0.12;  // return per second, as exponent
+constexpr double kMaxReportIntervalSeconds = 2;      // seconds one report may stand for
 // Cold servers get this multiple of their fair, cold-weighted share at most.
-constexpr double kColdBudget = 1.3;
+constexpr double kSlowStartBudgetFactor = 1.3;
 // What a cold server's budget saves up, as part of overload_window: with all of it, a hot key that
 // came after a quiet spell spent twice the budget at once.
-constexpr double kColdBurst = 0.4;
+constexpr double kSlowStartBurstFraction = 0.4;
 // And this part of what would push one over had warm servers been at the edge of their capacity.
-constexpr double kColdBorne = 0.5;
-constexpr double kBorneGain = 0.02;  // of one refresh in what warm servers bear, about 5 s
+constexpr double kSlowStartOverloadFraction = 0.5;
+constexpr double kWarmServerRateGain = 0.02;  // of one refresh in what warm servers bear, about 5 s
 // Attempts. Tokens per request for further attempts and for second copies, and their caps.
-constexpr double kRetryPerRequest = 0.03;
-constexpr double kRetryCap = 10;
-constexpr double kCopyPerRequest = 0.03;
-constexpr double kCopyCap = 3;
-constexpr double kQuantile = 0.95;  // latency quantile that patience is built on
-constexpr double kPatienceFactor = 2.0;
-constexpr double kServerErrs = 0.9;  // doubt from which errors are laid at the server's door
-constexpr double kOwnFault = 0.25;   // failures per attempt from which they may be the server's own
-constexpr double kRelief = 0.5;      // of doubt, by one success of a server that stands out
-constexpr double kUsualBreaks = 0.3;   // broken connections per attempt that are no sign of load
-constexpr double kFutileErrors = 0.1;  // per attempt at the better half; past it no retries
+constexpr double kRetryTokensPerRequest = 0.03;
+constexpr double kMaxRetryTokens = 10;
+constexpr double kHedgeTokensPerRequest = 0.03;
+constexpr double kMaxHedgeTokens = 3;
+constexpr double kTimeoutLatencyQuantile = 0.95;  // latency quantile that patience is built on
+constexpr double kAttemptTimeoutFactor = 2.0;
+constexpr double kErrorAttributionScore =
+    0.9;  // doubt from which errors are laid at the server's door
+constexpr double kMinOutlierFailureFraction =
+    0.25;  // failures per attempt from which they may be the server's own
+constexpr double kFailureScoreReliefPerSuccess =
+    0.5;  // of doubt, by one success of a server that stands out
+constexpr double kMaxBenignDisconnectFraction =
+    0.3;  // broken connections per attempt that are no sign of load
+constexpr double kMaxRetriableErrorFraction =
+    0.1;  // per attempt at the better half; past it no retries
 // Admission: the shed level moves once per step by the part of answers that came late or never.
-constexpr Micros kShedStep = kSecond / 4;
-constexpr double kShedFade = 0.75;  // of the counts, per step
+constexpr Micros kAdmissionInterval = kSecond / 4;
+constexpr double kAdmissionCountDecayFactor = 0.75;  // of the counts, per step
 // Answers presumed good. A door nearly shut sees few ends: by the one in ten that is late on a good
 // day it stayed shut for a quarter of a minute with the servers idle.
-constexpr double kShedPrior = 6;
-constexpr double kShedBad = 0.2;
+constexpr double kPriorGoodResults = 6;
+constexpr double kMaxBadResultFraction = 0.2;
 // Per step, were all bad. Misses are cut fast, or the origin's queue, longer than clients wait,
 // never drains; hits slowly, as swings leave servers idle.
-constexpr double kAdmitCut = 0.3;
-constexpr double kAdmitCutHeld = 0.1;
-constexpr int kWantedSeen = 3;       // a key seen this often lately is likely held
-constexpr double kAdmitGrow = 0.25;  // of what is admitted, per step, when nothing ends badly
-constexpr double kAdmitStep = 0.05;  // and this much: by parts alone a door nearly shut stays so
-constexpr double kAdmitMin = 0.03;
-constexpr double kShedLeast = 0.4;  // the most and least worthy are refused at these multiples
-constexpr double kShedMost = 1.4;
+constexpr double kAdmissionDecreaseFraction = 0.3;
+constexpr double kCachedAdmissionDecreaseFraction = 0.1;
+constexpr int kLikelyCachedRequests = 3;  // a key seen this often lately is likely held
+constexpr double kAdmissionIncreaseFraction =
+    0.25;  // of what is admitted, per step, when nothing ends badly
+constexpr double kAdmissionIncreaseStep =
+    0.05;  // and this much: by parts alone a door nearly shut stays so
+constexpr double kMinAdmittedFraction = 0.03;
+constexpr double kMinShedFactor = 0.4;  // the most and least worthy are refused at these multiples
+constexpr double kMaxShedFactor = 1.4;
 // List: how long after the start the first call may come, as part of list_refresh_interval, so that
 // routers started together do not call together; and the mean pause after failed calls. It does not
 // double: 6 s after discovery is back all that it has counts as told, and a second try may have to
 // fit in.
-constexpr double kAskSpread = 0.4;
-constexpr double kAskPause = kSecond;
+constexpr double kListRequestJitterFraction = 0.4;
+constexpr double kListRetryBackoff = kSecond;
 
-constexpr double kRateSpan = 5;            // seconds over which rates fade
-constexpr Micros kRefresh = kSecond / 10;  // fleet-wide sums are renewed this often
+constexpr double kRateWindowSeconds = 5;           // seconds over which rates fade
+constexpr Micros kRefreshInterval = kSecond / 10;  // fleet-wide sums are renewed this often
 
 std::uint64_t mix(std::uint64_t x) {  // splitmix64 finalizer
   x += 0x9e3779b97f4a7c15ULL;
@@ -118,7 +136,7 @@
   return x ^ (x >> 31);
 }
 
-std::uint64_t hash_name(std::string_view name) {  // FNV-1a, then mixed
+std::uint64_t hash_string(std::string_view name) {  // FNV-1a, then mixed
   std::uint64_t h = 0xcbf29ce484222325ULL;
   for (unsigned char c : name) h = (h ^ c) * 0x100000001b3ULL;
   return mix(h);
@@ -130,16 +148,16 @@
 
 int slot_of(std::uint64_t draw) { return static_cast<int>(draw >> (64 - kSlotBits)); }
 /// Where within its slot a draw lands, 0 to 1.
-double depth_of(std::uint64_t draw) {
+double position_in_slot(std::uint64_t draw) {
   return static_cast<double>((draw >> 17) & 0xffffffffULL) / 4294967296.0;
 }
 
 /// One attempt more in a rate of failures.
-void follow(double& rate, bool failed, double gain = kFailureGain) {
+void update_rate(double& rate, bool failed, double gain = kFleetFailureRateGain) {
   rate += gain * (failed - rate);
 }
 
-enum TimerKind : std::uint64_t { kDeadlineTimer, kCopyTimer, kAskTimer };
+enum TimerKind : std::uint64_t { kDeadlineTimer, kHedgeTimer, kListTimer };
 
 void require(bool ok, const std::string& name) {
   if (!ok) throw std::invalid_argument("setting " + name + " cannot be used");
@@ -150,347 +168,378 @@
 struct Balancer::Impl {
   // ---- state ----
   struct Zone {
-    int lost = 0, last = -1;  // servers in a row that could not be reached; the last one
-    Micros until = 0;         // taken for cut off
+    int unreachable_in_row = 0,
+        last_server = -1;      // servers in a row that could not be reached; the last one
+    Micros ejected_until = 0;  // taken for cut off
   };
   struct ServerState {
     Server listed;
-    bool present = false;                // on the current list and ready or draining
-    int in_flight = 0;                   // own attempts out
-    int named = 0;                       // attempts of open requests that name it, out or not
-    std::array<double, 3> failing = {};  // per attempt, lately: see Failing
-    double doubt = 0;                    // weight of recent failures
-    Micros doubt_at = 0;
-    int strikes = 0;  // times judged dead without a success between
-    Micros dead_until = 0;
-    Micros returned_at = 0;  // start of the ramp after a dead spell; 0 = none
-    double slow_log = 0;     // mean log of latency over the class's usual
-    double slow_seen = 0;    // evidence behind it
-    Micros slow_at = 0;
-    double load_live = 1;  // live fraction by reported load
-    double crowded = 0;    // part given up for refusals as full
-    Micros crowded_at = 0;
+    bool present = false;                      // on the current list and ready or draining
+    int in_flight = 0;                         // own attempts out
+    int references = 0;                        // attempts of open requests that name it, out or not
+    std::array<double, 3> failure_rates = {};  // per attempt, lately: see Failing
+    double failure_score = 0;                  // weight of recent failures
+    Micros failure_score_at = 0;
+    int consecutive_ejections = 0;  // times judged dead without a success between
+    Micros ejected_until = 0;
+    Micros recovery_start = 0;     // start of the ramp after a dead spell; 0 = none
+    double log_latency_ratio = 0;  // mean log of latency over the class's usual
+    double latency_samples = 0;    // evidence behind it
+    Micros latency_at = 0;
+    double load_live_fraction = 1;  // live fraction by reported load
+    double rejection_penalty = 0;   // part given up for refusals as full
+    Micros rejection_penalty_at = 0;
     Micros report_at = 0;
-    double cold_tokens = 0;
-    Micros cold_at = 0;
+    double slow_start_tokens = 0;
+    Micros slow_start_refilled_at = 0;
     Zone* zone = nullptr;
   };
-  enum Failing { kErrors, kResets, kStalls };
-  enum class Ran { Out, Maybe, Never };
+  enum FailureKind { kErrors, kResets, kTimeouts };
+  enum class Execution { Pending, MayHaveRun, NeverRan };
   struct Attempt {
     int server;
     Micros sent;
-    Ran ran = Ran::Out;
+    Execution execution = Execution::Pending;
   };
   struct ClassState {
-    ClassSettings rules;
-    double mean_log = 0;  // usual log latency
-    double quantile = 0;  // latency at kQuantile
-    double seen = 0;
+    ClassSettings settings;
+    double mean_log_latency = 0;  // usual log latency
+    double latency_quantile = 0;  // latency at kTimeoutLatencyQuantile
+    double samples = 0;
   };
-  struct Open {
+  struct OpenRequest {
     Request request;
-    std::shared_ptr<ClassState> cls;  // as it was when the request came: settings may change
-    int seen = 0;                     // times its key came lately
-    bool held = false;                // its key is likely held by a server
-    std::uint64_t name = 0;           // hash of its key
+    std::shared_ptr<ClassState>
+        class_state;             // as it was when the request came: settings may change
+    int recent_requests = 0;     // times its key came lately
+    bool cached = false;         // its key is likely held by a server
+    std::uint64_t key_hash = 0;  // hash of its key
     std::uint64_t seed = 0;
-    Micros came = 0;
+    Micros arrived_at = 0;
     Micros deadline = 0;
     bool closed = false;
-    bool reached = false;  // an attempt has come to a server
-    bool missed = false;   // aside mode: a cache held nothing
+    bool reached_server = false;  // an attempt has come to a server
+    bool cache_missed = false;    // aside mode: a cache held nothing
     std::vector<Attempt> attempts;
   };
 
-  Settings set;
-  std::uint64_t rng;
+  Settings config;
+  std::uint64_t rng_state;
   Micros now = 0;
   std::vector<ServerState> servers;
-  std::map<std::string, Zone> zones;  // by name; all that the settings don't name share one
-  std::map<std::string, int> index;   // by id, so that walks over it are in id order
-  std::vector<int> spare;             // places in `servers` of those that have left
-  std::vector<int> slots = std::vector<int>(kSlots, -1);
-  RecycledMap<Open> open;
-  struct Saved {
+  std::map<std::string, Zone> zones;       // by name; all that the settings don't name share one
+  std::map<std::string, int> index_by_id;  // by id, so that walks over it are in id order
+  std::vector<int> free_indices;           // places in `servers` of those that have left
+  std::vector<int> slots = std::vector<int>(kSlotCount, -1);
+  RecycledMap<OpenRequest> open_requests;
+  struct SavedSeed {
     std::uint64_t seed = 0;  // of the last landing
-    int drawn = 0;           // landings since the walk began at the name
-    int home = -1;           // server of the first of them
+    int landings = 0;        // landings since the walk began at the name
+    int first_server = -1;   // server of the first of them
     double count = 0;        // own requests lately, fading with own traffic
-    double at = 0;           // value of `sent` then
+    double counted_at = 0;   // value of `sent` then
   };
-  RecycledMap<Saved> saved;    // by name hash
-  double sent = 0, swept = 0;  // own requests; and when stale seeds were dropped
-  struct Seen {
-    int times = 0;
-    bool held = false;  // its last read was answered, so some server holds it
+  RecycledMap<SavedSeed> saved_seeds;        // by name hash
+  double requests_sent = 0, last_sweep = 0;  // own requests; and when stale seeds were dropped
+  struct KeyCount {
+    int count = 0;
+    bool cached = false;  // its last read was answered, so some server holds it
   };
-  std::array<std::unordered_map<std::uint64_t, Seen>, 2> counts;  // this generation, last
-  Micros generation_at = 0;
+  std::array<std::unordered_map<std::uint64_t, KeyCount>, 2> key_counts;  // this generation, last
+  Micros generation_start = 0;
   std::vector<std::shared_ptr<ClassState>> classes;
-  std::map<std::string, double> tenant_rate;  // by name: new settings may list them otherwise
-  double rate_sum = 0;                        // decayed count of attempts sent, in mean requests
-  Micros rate_at = 0;
-  Micros born = 0;
+  std::map<std::string, double> tenant_rates;  // by name: new settings may list them otherwise
+  double attempt_rate_sum = 0;                 // decayed count of attempts sent, in mean requests
+  Micros rates_decayed_at = 0;
+  Micros started_at = 0;
   double mean_work = 0;
-  double mean_log = 0;  // usual log latency over all classes
-  double queue_mean = 0, util_mean = 0;
+  double mean_log_latency = 0;  // usual log latency over all classes
+  double mean_queue = 0, mean_utilization = 0;
   int total_in_flight = 0;
   // Failures per attempt over the whole fleet, lately.
-  double errors = 0, unreachable = 0, full = 0, broken = 0;
-  std::array<double, 3> usual_failing = {};  // see renew_usual()
-  std::array<double, 3> pooled = {};         // failures per attempt at any server
-  double retry_tokens = kRetryCap / 2, copy_tokens = kCopyCap / 2;
-  struct Door {
-    double shed = 0;
-    double good = 0, bad = 0;  // ends of what it let in
+  double error_rate = 0, unreachable_rate = 0, overloaded_rate = 0, disconnect_rate = 0;
+  std::array<double, 3> baseline_failure_rates = {};  // see renew_usual()
+  std::array<double, 3> fleet_failure_rates = {};     // failures per attempt at any server
+  double retry_tokens = kMaxRetryTokens / 2, hedge_tokens = kMaxHedgeTokens / 2;
+  struct AdmissionState {
+    double shed_fraction = 0;
+    double good_results = 0, bad_results = 0;  // ends of what it let in
   };
-  std::array<Door, 2> doors;  // for keys likely to be fetched, and for those held
-  double mean_value = 0;      // usual worth of a request, or per work where worth goes by request
-  Micros shed_at = 0;
+  std::array<AdmissionState, 2> admission;  // for keys likely to be fetched, and for those held
+  double mean_worth = 0;  // usual worth of a request, or per work where worth goes by request
+  Micros admission_updated_at = 0;
   // renewed by refresh()
-  Micros refreshed = -1;
-  double live_sum = 1, weight_sum = 1, warm_sum = 1, near_pull = 0;
-  double borne = 0;  // requests per second and weight that this router's warm servers bear
-  bool disbelieve = false;
+  Micros refreshed_at = -1;
+  double live_fraction_sum = 1, live_weight_sum = 1, warm_weight_sum = 1, zone_affinity = 0;
+  double warm_server_rate =
+      0;  // requests per second and weight that this router's warm servers bear
+  bool panic_mode = false;
   // list
-  bool watching = false, asking = false;
-  std::uint64_t ask_token = 0;
+  bool watching = false, watch_pending = false;
+  std::uint64_t list_timer_token = 0;
   std::uint64_t draws = 0;
-  std::vector<double> rates;  // of renew_usual(), for its memory alone
-  Actions out;
+  std::vector<double> rate_scratch;  // of renew_usual(), for its memory alone
+  Actions actions;
 
   /// What is left of 1 that halves every `half`.
-  double halved(Micros since, double half) const {
+  double decay(Micros since, double half) const {
     return std::exp2(-static_cast<double>(now - since) / half);
   }
 
   double random() {
-    rng = mix(rng + 1);
-    return static_cast<double>(rng >> 11) / 9007199254740992.0;
+    rng_state = mix(rng_state + 1);
+    return static_cast<double>(rng_state >> 11) / 9007199254740992.0;
   }
 
   // ---- segments ----
-  bool is_origin(const ServerState& s) const {
-    return set.cache_aside && !set.origin_kind.empty() && s.listed.kind == set.origin_kind;
+  bool is_origin(const ServerState& server) const {
+    return config.cache_aside && !config.origin_kind.empty() &&
+           server.listed.kind == config.origin_kind;
   }
 
-  void carve() {
+  void assign_slots() {
     std::fill(slots.begin(), slots.end(), -1);
-    double unit = kSlotsPerUnit, total = 0;
-    for (const ServerState& s : servers)
-      if (s.present && !is_origin(s)) total += std::max(s.listed.weight, 0.0) * kSlotsPerUnit;
-    while (total > kMaxCoverage * kSlots) unit /= 2, total /= 2;
-    for (const auto& [id, i] : index) {  // lower ids first: ties go to them
-      const ServerState& s = servers[i];
-      if (!s.present || is_origin(s)) continue;
-      int want = std::max(1, static_cast<int>(std::lround(s.listed.weight * unit)));
-      std::uint64_t seed = hash_name(id);
-      for (int tries = 0; want > 0 && tries < kSlots; ++tries) {
+    double unit = kSlotsPerWeightUnit, total = 0;
+    for (const ServerState& server : servers)
+      if (server.present && !is_origin(server))
+        total += std::max(server.listed.weight, 0.0) * kSlotsPerWeightUnit;
+    while (total > kMaxCoverageFraction * kSlotCount) unit /= 2, total /= 2;
+    for (const auto& [id, i] : index_by_id) {  // lower ids first: ties go to them
+      const ServerState& server = servers[i];
+      if (!server.present || is_origin(server)) continue;
+      int wanted_slots = std::max(1, static_cast<int>(std::lround(server.listed.weight * unit)));
+      std::uint64_t seed = hash_string(id);
+      for (int tries = 0; wanted_slots > 0 && tries < kSlotCount; ++tries) {
         seed = next_draw(seed);
         int& slot = slots[slot_of(seed)];
-        if (slot < 0) slot = i, --want;
+        if (slot < 0) slot = i, --wanted_slots;
       }
     }
-    refreshed = -1;
+    refreshed_at = -1;
   }
 
-  bool usable(const ServerState& s) const { return s.present && s.listed.health == Health::Ready; }
+  bool usable(const ServerState& server) const {
+    return server.present && server.listed.health == Health::Ready;
+  }
 
-  bool cold(const ServerState& s) const {
-    return s.listed.up_since > 0 && now - s.listed.up_since < set.slow_start_window;
+  bool in_slow_start(const ServerState& server) const {
+    return server.listed.up_since > 0 && now - server.listed.up_since < config.slow_start_window;
   }
 
-  double warmth(const ServerState& s) const {
-    if (!cold(s)) return 1;
-    double age = static_cast<double>(std::max<Micros>(0, now - s.listed.up_since)) /
-                 static_cast<double>(set.slow_start_window);
-    return set.slow_start_min_fraction + (1 - set.slow_start_min_fraction) * age;
+  double slow_start_fraction(const ServerState& server) const {
+    if (!in_slow_start(server)) return 1;
+    double age = static_cast<double>(std::max<Micros>(0, now - server.listed.up_since)) /
+                 static_cast<double>(config.slow_start_window);
+    return config.slow_start_min_fraction + (1 - config.slow_start_min_fraction) * age;
   }
 
   /// The part of its slots that a server is live over. Death, slow start, a slow machine and
   /// overload all act here, so each remaps only the keys of the part that is given up.
-  double live(const ServerState& s) const {
-    if (!usable(s)) return 0;
-    double part = warmth(s) * std::max(kLiveFloor, s.load_live * (1 - crowding(s)) * slow_part(s));
-    if (!disbelieve) {
-      if (out_of_service(s)) return 0;
-      if (s.returned_at > 0) {
-        double back = static_cast<double>(now - s.returned_at) / kReturnRamp;
-        part *= std::min(1.0, kReturnFrom + (1 - kReturnFrom) * back);
+  double live_fraction(const ServerState& server) const {
+    if (!usable(server)) return 0;
+    double fraction = slow_start_fraction(server) *
+                      std::max(kMinLiveFraction, server.load_live_fraction *
+                                                     (1 - current_rejection_penalty(server)) *
+                                                     latency_live_fraction(server));
+    if (!panic_mode) {
+      if (is_ejected(server)) return 0;
+      if (server.recovery_start > 0) {
+        double ramp = static_cast<double>(now - server.recovery_start) / kRecoveryRampTime;
+        fraction *= std::min(1.0, kRecoveryRampMinFraction + (1 - kRecoveryRampMinFraction) * ramp);
       }
     }
-    return part;
+    return fraction;
   }
 
-  bool out_of_service(const ServerState& s) const {
-    return now < std::max(s.dead_until, s.zone->until);
+  bool is_ejected(const ServerState& server) const {
+    return now < std::max(server.ejected_until, server.zone->ejected_until);
   }
 
   void refresh() {
-    if (refreshed >= 0 && now - refreshed < kRefresh) return;
-    refreshed = now;
-    renew_usual();
-    double ready = 0, dead = 0, near_ready = 0, near_dead = 0;
-    for (const ServerState& s : servers) {
-      if (!usable(s) || is_origin(s)) continue;
-      bool near = s.listed.zone == set.zone;
-      ready += 1, near_ready += near;
-      if (out_of_service(s)) dead += 1, near_dead += near;
+    if (refreshed_at >= 0 && now - refreshed_at < kRefreshInterval) return;
+    refreshed_at = now;
+    refresh_baseline_failure_rates();
+    double ready = 0, ejected = 0, local_ready = 0, local_ejected = 0;
+    for (const ServerState& server : servers) {
+      if (!usable(server) || is_origin(server)) continue;
+      bool local = server.listed.zone == config.zone;
+      ready += 1, local_ready += local;
+      if (is_ejected(server)) ejected += 1, local_ejected += local;
     }
     // A cut between zones looks like many deaths and is believed as long as the own zone answers;
     // when the servers next door look dead as well, the fault is likely here or in the judgement.
-    disbelieve = near_ready > 0 ? near_dead > kDoubtAll * near_ready && dead > kDoubtAll * ready
-                                : dead > kDoubtAll * ready;
-    double near_live = 0, near_weight = 0, nominal = 0;
-    live_sum = weight_sum = warm_sum = 0;
-    for (const ServerState& s : servers) {
-      if (!usable(s) || is_origin(s)) continue;
-      double part = live(s);
-      live_sum += part, weight_sum += part * s.listed.weight;
-      warm_sum += warmth(s) * s.listed.weight;
-      nominal += s.listed.weight;
-      if (s.listed.zone == set.zone) near_live += part, near_weight += 1;
+    panic_mode = local_ready > 0 ? local_ejected > kPanicEjectedFraction * local_ready &&
+                                       ejected > kPanicEjectedFraction * ready
+                                 : ejected > kPanicEjectedFraction * ready;
+    double local_live = 0, local_servers = 0, nominal_weight = 0;
+    live_fraction_sum = live_weight_sum = warm_weight_sum = 0;
+    for (const ServerState& server : servers) {
+      if (!usable(server) || is_origin(server)) continue;
+      double fraction = live_fraction(server);
+      live_fraction_sum += fraction, live_weight_sum += fraction * server.listed.weight;
+      warm_weight_sum += slow_start_fraction(server) * server.listed.weight;
+      nominal_weight += server.listed.weight;
+      if (server.listed.zone == config.zone) local_live += fraction, local_servers += 1;
     }
-    if (warm_sum > 0.8 * nominal && warm_sum > 0) {
-      double fair = sent_rate() / warm_sum;
-      borne += (borne <= 0 ? 1 : kBorneGain) * (fair - borne);
+    if (warm_weight_sum > 0.8 * nominal_weight && warm_weight_sum > 0) {
+      double fair_rate = attempts_per_second() / warm_weight_sum;
+      warm_server_rate +=
+          (warm_server_rate <= 0 ? 1 : kWarmServerRateGain) * (fair_rate - warm_server_rate);
     }
     // Servers of the own zone that shed load loosen the pull to it; those out of service only as
     // far as fewer are elsewhere: where a few of each zone are out, crossing moves the load about.
-    double rest = near_weight > 0 ? near_live / near_weight : 0;
+    double local_live_fraction = local_servers > 0 ? local_live / local_servers : 0;
     // Where servers are few and met often, those next door feel each one that is out.
-    if (ready > dead && seldom()) rest = std::min(1.0, rest * ready / (ready - dead));
-    near_pull = kMaxNearPull * rest * rest;
+    if (ready > ejected && low_traffic())
+      local_live_fraction = std::min(1.0, local_live_fraction * ready / (ready - ejected));
+    zone_affinity = kMaxZoneAffinityFraction * local_live_fraction * local_live_fraction;
   }
 
   // ---- saved seeds ----
-  /// Own requests over which a key is counted: kWindows times what makes kKeyShare of a fair share.
-  double horizon() const { return kWindows * std::max(1.0, live_sum / kKeyShare); }
+  /// Own requests over which a key is counted: kRequestsPerReplica times what makes
+  /// kKeySpreadShareFactor of a fair share.
+  double key_count_window() const {
+    return kRequestsPerReplica * std::max(1.0, live_fraction_sum / kKeySpreadShareFactor);
+  }
 
   /// The seed the request's walk starts from. Repeats draw onward from the saved seed until the key
   /// has been to as many servers as its share of the traffic needs; then its window ends and the
   /// walk begins at the name again. A key that one server can bear stays at its first landing, and
   /// a hot key's known spread outlives each wipe.
-  Saved& seed_of(std::uint64_t name) {
-    sent += 1;
-    double span = horizon();
-    auto fade = [&](const Saved& s) { return s.count * std::exp(-(sent - s.at) / span); };
-    if (sent - swept > span) {
-      for (auto it = saved.begin(); it != saved.end();)
-        it = fade(it->second) < 0.5 ? saved.drop(it) : std::next(it);
-      swept = sent;
+  SavedSeed& seed_for(std::uint64_t key_hash) {
+    requests_sent += 1;
+    double window = key_count_window();
+    auto fade = [&](const SavedSeed& saved) {
+      return saved.count * std::exp(-(requests_sent - saved.counted_at) / window);
+    };
+    if (requests_sent - last_sweep > window) {
+      for (auto it = saved_seeds.begin(); it != saved_seeds.end();)
+        it = fade(it->second) < 0.5 ? saved_seeds.drop(it) : std::next(it);
+      last_sweep = requests_sent;
     }
-    auto [s, fresh] = saved.enter(name);
-    if (fresh) s = Saved();
-    s.count = fade(s) + 1;
-    s.at = sent;
+    auto [saved, inserted] = saved_seeds.enter(key_hash);
+    if (inserted) saved = SavedSeed();
+    saved.count = fade(saved) + 1;
+    saved.counted_at = requests_sent;
     // Some servers are hot by several middling keys, none of which would be spread for itself. Not
     // while the origin fails: each copy asks it.
-    bool calm = s.home < 0 || s.count < kWindows || errors > kCopyErrors;
-    double per_server = kWindows * (calm ? 1 : servers[s.home].load_live);
-    if (s.drawn == 0 || s.drawn >= s.count / per_server) s.seed = name, s.drawn = 0;
-    return s;
+    bool no_extra_replicas = saved.first_server < 0 || saved.count < kRequestsPerReplica ||
+                             error_rate > kMaxSpreadErrorFraction;
+    double per_server = kRequestsPerReplica *
+                        (no_extra_replicas ? 1 : servers[saved.first_server].load_live_fraction);
+    if (saved.landings == 0 || saved.landings >= saved.count / per_server)
+      saved.seed = key_hash, saved.landings = 0;
+    return saved;
   }
 
   /// Counts the key over the last one to two generations.
-  void count_key(Open& o) {
-    if (now - generation_at > kGeneration || counts[0].size() >= kMaxTracked) {
-      counts[1] = std::move(counts[0]);
-      counts[0].clear();
-      generation_at = now;
+  void count_key(OpenRequest& open) {
+    if (now - generation_start > kKeyCountGeneration || key_counts[0].size() >= kMaxTrackedKeys) {
+      key_counts[1] = std::move(key_counts[0]);
+      key_counts[0].clear();
+      generation_start = now;
     }
-    auto [it, fresh] = counts[0].try_emplace(o.name);
-    auto old = counts[1].find(o.name);
-    if (fresh && old != counts[1].end()) it->second.held = old->second.held;
-    o.seen = ++it->second.times + (old != counts[1].end() ? old->second.times : 0);
-    o.held = it->second.held && !o.request.write;
+    auto [it, inserted] = key_counts[0].try_emplace(open.key_hash);
+    auto previous = key_counts[1].find(open.key_hash);
+    if (inserted && previous != key_counts[1].end()) it->second.cached = previous->second.cached;
+    open.recent_requests =
+        ++it->second.count + (previous != key_counts[1].end() ? previous->second.count : 0);
+    open.cached = it->second.cached && !open.request.write;
   }
 
   /// How an admitted request ended. One that no server has begun tells nothing of who holds its
   /// key: the keys of a burst were refused by the door of fetches, time and again, and never came
   /// to be held again while servers stood idle.
-  void note_end(const Open& o, bool answered, bool in_time) {
-    Door& d = doors[o.held];
+  void record_result(const OpenRequest& open, bool answered, bool in_time) {
+    AdmissionState& state = admission[open.cached];
     // One in ten comes late on a good day, and by the chance of the few ends at its doors a router
     // that meets servers seldom refused some of what comes all day. Nor does one that never came to
     // a server tell it of load: a zone that was cut off shut its doors to all others.
-    bool load = !answered && (o.reached || any_out(o));
-    double bad = in_time ? 0 : load ? 1 : std::min(1.0, kSecond / meeting());
-    d.good += 1 - bad, d.bad += bad;
-    auto it = counts[0].find(o.name);
-    if (it != counts[0].end() && (answered || may_have_run(o)))
-      it->second.held = answered && !o.request.write;
+    bool load = !answered && (open.reached_server || any_pending(open));
+    double bad = in_time ? 0 : load ? 1 : std::min(1.0, kSecond / request_interval());
+    state.good_results += 1 - bad, state.bad_results += bad;
+    auto it = key_counts[0].find(open.key_hash);
+    if (it != key_counts[0].end() && (answered || may_have_run(open)))
+      it->second.cached = answered && !open.request.write;
   }
 
   /// Whether a copy of the key in the own zone would pay. Where it would by one request of each
   /// router, no second one is waited for: each sees a key so seldom that some held it for popular
   /// and others did not, it had a home far off and one in each zone, and most requests crossed.
-  bool popular(int seen) const {
-    double peers = std::max(1.0, set.routers / std::max<double>(1, set.zones.size()));
-    return set.cross_zone_charge * seen * peers > (seen >= 2 ? 1 : kOnce) * kMissCost;
+  bool zone_replica_pays(int seen) const {
+    double peers = std::max(1.0, config.routers / std::max<double>(1, config.zones.size()));
+    return config.cross_zone_charge * seen * peers >
+           (seen >= 2 ? 1 : kSeenOnceCostFactor) * kMissCostInRequests;
   }
 
-  bool at_limit(const ServerState& s) const {
-    double mean = total_in_flight / std::max(1.0, weight_sum);
-    return s.in_flight >= kInFlightFloor + kInFlightFactor * mean * s.listed.weight;
+  bool at_in_flight_limit(const ServerState& server) const {
+    double mean = total_in_flight / std::max(1.0, live_weight_sum);
+    return server.in_flight >=
+           kInFlightLimitBase + kInFlightLimitFactor * mean * server.listed.weight;
   }
 
-  double cold_rate(const ServerState& s) const {  // requests per second this router may send
+  double slow_start_rate(
+      const ServerState& server) const {  // requests per second this router may send
     // Over the nominal sizes: were it over the live ones, servers that shed load would push it to
     // the cold. And never more than warm servers were seen to bear: after a mass replacement the
     // fair share of the few that are left is more than they can do.
-    double fair = sent_rate() / std::max(1.0, warm_sum);
-    double most = borne > 0 ? std::min(kColdBudget * fair, kColdBorne * set.overload_factor * borne)
-                            : kColdBudget * fair;
-    return warmth(s) * s.listed.weight * most;
+    double fair_rate = attempts_per_second() / std::max(1.0, warm_weight_sum);
+    double max_rate =
+        warm_server_rate > 0
+            ? std::min(kSlowStartBudgetFactor * fair_rate,
+                       kSlowStartOverloadFraction * config.overload_factor * warm_server_rate)
+            : kSlowStartBudgetFactor * fair_rate;
+    return slow_start_fraction(server) * server.listed.weight * max_rate;
   }
 
   /// A cold server's budget: tokens in units of a mean request. Every router keeps its own part, so
   /// that all together stay within the rule without agreeing. Tokens start at random under one, or
   /// many routers that each may send one request at once would tip a server together.
-  bool cold_has_room(ServerState& s, double cost) {
-    if (!cold(s)) return true;
-    double rate = cold_rate(s);
-    double cap =
-        std::max(1.0, kColdBurst * rate * static_cast<double>(set.overload_window) / kSecond);
-    s.cold_tokens += rate * static_cast<double>(now - s.cold_at) / kSecond;
-    s.cold_tokens = std::min(s.cold_tokens, cap);
-    s.cold_at = now;
-    return s.cold_tokens >= std::min(cost, cap);
-  }
-
-  struct Landing {
+  bool slow_start_allows(ServerState& server, double cost) {
+    if (!in_slow_start(server)) return true;
+    double rate = slow_start_rate(server);
+    double max_tokens = std::max(1.0, kSlowStartBurstFraction * rate *
+                                          static_cast<double>(config.overload_window) / kSecond);
+    server.slow_start_tokens +=
+        rate * static_cast<double>(now - server.slow_start_refilled_at) / kSecond;
+    server.slow_start_tokens = std::min(server.slow_start_tokens, max_tokens);
+    server.slow_start_refilled_at = now;
+    return server.slow_start_tokens >= std::min(cost, max_tokens);
+  }
+
+  struct Selection {
     int server = -1;
     std::uint64_t seed = 0;
   };
 
   /// Draws onward from `seed`, `left` times at most, to the next live segment; -1 without one.
-  int next_live(std::uint64_t& seed, int& left) const {
+  int next_live_server(std::uint64_t& seed, int& left) const {
     while (left-- > 0) {
       seed = next_draw(seed);
       int i = slots[slot_of(seed)];
-      if (i >= 0 && depth_of(seed) < live(servers[i])) return i;
+      if (i >= 0 && position_in_slot(seed) < live_fraction(servers[i])) return i;
     }
     return -1;
   }
 
   /// Draws from `seed` to the next live segment whose server may take the request.
-  Landing walk(std::uint64_t seed, const Open& o, bool keep_near) {
-    Landing fallback;
-    int passed = 0;
-    double cost = cost_of(o);
-    for (int left = kMaxDraws, before = left;; before = left) {
-      int i = next_live(seed, left);
+  Selection walk(std::uint64_t seed, const OpenRequest& open, bool prefer_local) {
+    Selection fallback;
+    int skipped = 0;
+    double cost = cost_of(open);
+    for (int left = kMaxDrawsPerWalk, before = left;; before = left) {
+      int i = next_live_server(seed, left);
       draws += static_cast<std::uint64_t>(before - std::max(left, 0));
       if (i < 0) return fallback;
-      ServerState& s = servers[i];
-      if (!may_send(o, i) || tried(o, i)) continue;
-      if (keep_near && s.listed.zone != set.zone && depth_of(mix(seed)) < near_pull) continue;
-      if (!cold_has_room(s, cost)) continue;
-      if (at_limit(s) && passed < kMaxOverflow) {
+      ServerState& server = servers[i];
+      if (!may_send(open, i) || tried(open, i)) continue;
+      if (prefer_local && server.listed.zone != config.zone &&
+          position_in_slot(mix(seed)) < zone_affinity)
+        continue;
+      if (!slow_start_allows(server, cost)) continue;
+      if (at_in_flight_limit(server) && skipped < kMaxInFlightLimitSkips) {
         if (fallback.server < 0) fallback = {i, seed};
-        ++passed;
+        ++skipped;
         continue;
       }
       return {i, seed};
@@ -500,75 +549,85 @@
   /// Where the draws have run out: of the servers that may take the request, the one that ranks
   /// first for the key. Few servers, or slow ones, cover so little of the interval that walks miss
   /// them: one alone that answered 30 times slower than before had most of its keys refused.
-  Landing last_resort(const Open& o) {
-    Landing best;
-    std::uint64_t most = 0;
-    for (const auto& [id, i] : index) {
-      std::uint64_t rank = mix(o.seed ^ hash_name(id));
-      if (rank < most || live(servers[i]) <= 0 || is_origin(servers[i])) continue;
-      if (!may_send(o, i) || tried(o, i) || !cold_has_room(servers[i], cost_of(o))) continue;
-      best = {i, o.seed}, most = rank;
+  Selection rendezvous_fallback(const OpenRequest& open) {
+    Selection best;
+    std::uint64_t highest_rank = 0;
+    for (const auto& [id, i] : index_by_id) {
+      std::uint64_t rank = mix(open.seed ^ hash_string(id));
+      if (rank < highest_rank || live_fraction(servers[i]) <= 0 || is_origin(servers[i])) continue;
+      if (!may_send(open, i) || tried(open, i) || !slow_start_allows(servers[i], cost_of(open)))
+        continue;
+      best = {i, open.seed}, highest_rank = rank;
     }
     return best;
   }
 
   // ---- server health ----
-  double slow_part(const ServerState& s) const {
-    if (s.slow_seen < 2) return 1;
-    double age = halved(s.slow_at, kSlowHalf);
-    double ratio = std::exp(s.slow_log * age);
-    return ratio > kSlowFrom ? kSlowFrom / ratio : 1;
+  double latency_live_fraction(const ServerState& server) const {
+    if (server.latency_samples < 2) return 1;
+    double remaining = decay(server.latency_at, kLatencyRatioHalfLife);
+    double ratio = std::exp(server.log_latency_ratio * remaining);
+    return ratio > kSlowLatencyRatio ? kSlowLatencyRatio / ratio : 1;
   }
 
-  void note_latency(ServerState& s, ClassState& c, Micros latency, bool ok) {
+  void record_latency(ServerState& server, ClassState& class_state, Micros latency, bool ok) {
     double value = std::max<double>(1, static_cast<double>(latency));
     double log_value = std::log(value);
-    if (c.seen == 0) c.mean_log = log_value, c.quantile = value * 2;
-    c.seen = std::min(c.seen + 1, 200.0);
-    double gain = std::max(1 / c.seen, 0.02);
+    if (class_state.samples == 0)
+      class_state.mean_log_latency = log_value, class_state.latency_quantile = value * 2;
+    class_state.samples = std::min(class_state.samples + 1, 200.0);
+    double gain = std::max(1 / class_state.samples, 0.02);
     if (ok) {
-      mean_log += (mean_log == 0 ? 1 : 0.03) * (log_value - mean_log);
-      c.mean_log += gain * (log_value - c.mean_log);
-      c.quantile *=
-          std::exp((value > c.quantile ? kQuantile : kQuantile - 1) * std::max(gain, 0.05));
+      mean_log_latency += (mean_log_latency == 0 ? 1 : 0.03) * (log_value - mean_log_latency);
+      class_state.mean_log_latency += gain * (log_value - class_state.mean_log_latency);
+      class_state.latency_quantile *=
+          std::exp((value > class_state.latency_quantile ? kTimeoutLatencyQuantile
+                                                         : kTimeoutLatencyQuantile - 1) *
+                   std::max(gain, 0.05));
     }
-    double age = halved(s.slow_at, kSlowHalf);
-    s.slow_log *= age, s.slow_seen *= age;
-    s.slow_log += kSlowAlpha * (log_value - c.mean_log - s.slow_log);
-    s.slow_seen += 1;
-    s.slow_at = now;
-  }
-
-  void note_success(ServerState& s) {
-    bool sick = false;
-    for (Failing kind : {kErrors, kResets, kStalls}) {
-      sick |= stands_out(s, kind);
-      follow(s.failing[kind], false, kOwnGain);
-      follow(pooled[kind], false);
+    double remaining = decay(server.latency_at, kLatencyRatioHalfLife);
+    server.log_latency_ratio *= remaining, server.latency_samples *= remaining;
+    server.log_latency_ratio +=
+        kLatencyRatioGain * (log_value - class_state.mean_log_latency - server.log_latency_ratio);
+    server.latency_samples += 1;
+    server.latency_at = now;
+  }
+
+  void record_success(ServerState& server) {
+    bool outlier = false;
+    for (FailureKind kind : {kErrors, kResets, kTimeouts}) {
+      outlier |= is_outlier(server, kind);
+      update_rate(server.failure_rates[kind], false, kServerFailureRateGain);
+      update_rate(fleet_failure_rates[kind], false);
     }
-    if (s.returned_at > 0 && now - s.returned_at > kReturnRamp) s.returned_at = 0, s.strikes = 0;
+    if (server.recovery_start > 0 && now - server.recovery_start > kRecoveryRampTime)
+      server.recovery_start = 0, server.consecutive_ejections = 0;
     // One that answers some requests and lets the others hang would never be left out otherwise.
-    s.doubt = sick ? std::max(0.0, s.doubt - kRelief) : 0;
+    server.failure_score =
+        outlier ? std::max(0.0, server.failure_score - kFailureScoreReliefPerSuccess) : 0;
   }
 
   /// A failure is evidence against the server only as far as it is unusual: when a stopped origin
   /// makes every server err, or overload makes all late, one more tells next to nothing (the
   /// log-likelihood ratio of dead against alive, in units of a failure on a quiet day).
-  void note_failure(ServerState& s, double weight, double usual) {
-    weight *= std::log(std::max(usual, kUsualFailure)) / std::log(kUsualFailure);
-    s.doubt *= halved(s.doubt_at, kDoubtHalf);
-    s.doubt += weight;
-    s.doubt_at = now;
-    if (s.doubt < kDeadAt || now < s.dead_until) return;
+  void record_failure(ServerState& server, double weight, double baseline) {
+    weight *= std::log(std::max(baseline, kMinBaselineFailureFraction)) /
+              std::log(kMinBaselineFailureFraction);
+    server.failure_score *= decay(server.failure_score_at, kFailureScoreHalfLife);
+    server.failure_score += weight;
+    server.failure_score_at = now;
+    if (server.failure_score < kEjectionFailureScore || now < server.ejected_until) return;
     // In times of meeting, or the spell would be over before the next request came.
-    auto met = static_cast<Micros>(std::min(meeting(), 8.0 * kSecond));
-    Micros span = std::min(std::max(kDeadMax, 4 * met), std::max(kDeadFirst, 2 * met)
-                                                            << std::min(s.strikes, 5));
-    s.dead_until = now + static_cast<Micros>(static_cast<double>(span) * (0.75 + 0.5 * random()));
-    s.returned_at = s.dead_until;  // gradual from there
-    s.strikes = std::min(s.strikes + 1, 8);
-    s.doubt = kDeadAt - 1;  // a trial's first failure is enough
-    refreshed = -1;
+    auto interval = static_cast<Micros>(std::min(request_interval(), 8.0 * kSecond));
+    Micros ejection_time = std::min(std::max(kMaxEjectionTime, 4 * interval),
+                                    std::max(kBaseEjectionTime, 2 * interval)
+                                        << std::min(server.consecutive_ejections, 5));
+    server.ejected_until =
+        now + static_cast<Micros>(static_cast<double>(ejection_time) * (0.75 + 0.5 * random()));
+    server.recovery_start = server.ejected_until;  // gradual from there
+    server.consecutive_ejections = std::min(server.consecutive_ejections + 1, 8);
+    server.failure_score = kEjectionFailureScore - 1;  // a trial's first failure is enough
+    refreshed_at = -1;
   }
 
   /// A failure that tells of the server. What is usual is told by the better half of the servers:
@@ -576,107 +635,127 @@
   /// server's failures tell next to nothing. By the mean of all, servers that failed every request
   /// within milliseconds passed for usual as soon as they were many, kept their keys and drew those
   /// of the others.
-  void note_broken(ServerState& s, Failing kind, double weight) {
-    follow(s.failing[kind], true, kOwnGain);
-    follow(pooled[kind], true);
+  void record_server_failure(ServerState& server, FailureKind kind, double weight) {
+    update_rate(server.failure_rates[kind], true, kServerFailureRateGain);
+    update_rate(fleet_failure_rates[kind], true);
     // Of servers that are met seldom most have not failed yet, whatever the fleet's state is: there
     // the better half always looks well.
-    note_failure(s, weight, std::max(usual_failing[kind], seldom() ? pooled[kind] / 2 : 0));
+    record_failure(
+        server, weight,
+        std::max(baseline_failure_rates[kind], low_traffic() ? fleet_failure_rates[kind] / 2 : 0));
   }
 
   /// What one stall weighs where own requests come to a server so far apart that the second one
   /// comes too late to be surer: a hundred routers never found out servers that hang. It may hurt
   /// where much stalls by chance.
-  double weight_of_first() const { return std::clamp(meeting() / kSecond, 1.0, kDeadAt * kSureOf); }
+  double timeout_weight() const {
+    return std::clamp(request_interval() / kSecond, 1.0,
+                      kEjectionFailureScore * kMaxTimeoutWeightFactor);
+  }
   /// Time between two own requests to one server.
-  double meeting() const { return kSecond * live_sum / std::max(0.1, sent_rate()); }
-  bool seldom() const { return meeting() > kSecond; }
+  double request_interval() const {
+    return kSecond * live_fraction_sum / std::max(0.1, attempts_per_second());
+  }
+  bool low_traffic() const { return request_interval() > kSecond; }
 
   /// Whether a zone can be reached at all is told by its servers together: each of them is met too
   /// seldom to be found out while the zone is cut off, and requests waited for dials in vain. The
   /// first attempt after the spell ends or renews it.
-  void note_reach(int server, bool reached) {
-    Zone& zone = *servers[server].zone;
+  void record_reachability(int index, bool reached) {
+    Zone& zone = *servers[index].zone;
     if (reached) zone = Zone();
-    if (reached || !seldom()) return;
-    zone.lost += zone.last != server;
-    zone.last = server;
-    if (zone.lost < kCutAfter) return;
-    zone.until = now + static_cast<Micros>(kDeadFirst * (0.75 + 0.5 * random()));
-    refreshed = -1;
+    if (reached || !low_traffic()) return;
+    zone.unreachable_in_row += zone.last_server != index;
+    zone.last_server = index;
+    if (zone.unreachable_in_row < kZoneEjectionServers) return;
+    zone.ejected_until = now + static_cast<Micros>(kBaseEjectionTime * (0.75 + 0.5 * random()));
+    refreshed_at = -1;
   }
 
   /// The server fails in this way far more often than the better half.
-  bool stands_out(const ServerState& s, Failing kind) const {
-    return s.failing[kind] > std::max(kOwnFault, 3 * usual_failing[kind]);
+  bool is_outlier(const ServerState& server, FailureKind kind) const {
+    return server.failure_rates[kind] >
+           std::max(kMinOutlierFailureFraction, 3 * baseline_failure_rates[kind]);
   }
 
   /// The mean rate of the better half of the servers, for each way to fail.
-  void renew_usual() {
-    for (std::size_t kind = 0; kind < usual_failing.size(); ++kind) {
-      rates.clear();
-      for (const ServerState& s : servers)
-        if (usable(s) && !is_origin(s)) rates.push_back(s.failing[kind]);
-      std::size_t half = (rates.size() + 1) / 2;
-      std::nth_element(rates.begin(), rates.begin() + static_cast<std::ptrdiff_t>(half),
-                       rates.end());
+  void refresh_baseline_failure_rates() {
+    for (std::size_t kind = 0; kind < baseline_failure_rates.size(); ++kind) {
+      rate_scratch.clear();
+      for (const ServerState& server : servers)
+        if (usable(server) && !is_origin(server))
+          rate_scratch.push_back(server.failure_rates[kind]);
+      std::size_t half = (rate_scratch.size() + 1) / 2;
+      std::nth_element(rate_scratch.begin(),
+                       rate_scratch.begin() + static_cast<std::ptrdiff_t>(half),
+                       rate_scratch.end());
       double sum = 0;
-      for (std::size_t k = 0; k < half; ++k) sum += rates[k];
-      usual_failing[kind] = half > 0 ? sum / static_cast<double>(half) : 0;
+      for (std::size_t k = 0; k < half; ++k) sum += rate_scratch[k];
+      baseline_failure_rates[kind] = half > 0 ? sum / static_cast<double>(half) : 0;
     }
   }
 
   /// The part of its keys a server gives up for having been full. It returns with time alone: a
   /// fleet that tells no load never said that a server was calm again.
-  double crowding(const ServerState& s) const {
-    return s.crowded * halved(s.crowded_at, kFullHalf);
+  double current_rejection_penalty(const ServerState& server) const {
+    return server.rejection_penalty * decay(server.rejection_penalty_at, kRejectionPenaltyHalfLife);
   }
 
-  void note_full(ServerState& s) {
-    double given = crowding(s);
-    s.crowded = given + (1 - given) * kFullGives * std::max(0.0, 1 - 4 * full);
-    s.crowded_at = now;
+  void record_overloaded(ServerState& server) {
+    double penalty = current_rejection_penalty(server);
+    server.rejection_penalty = penalty + (1 - penalty) * kRejectionPenaltyFraction *
+                                             std::max(0.0, 1 - 4 * overloaded_rate);
+    server.rejection_penalty_at = now;
   }
 
-  void note_report(ServerState& s, const Report& report) {
+  void record_load_report(ServerState& server, const Report& report) {
     if (report.empty()) return;
-    double heat = 0;
-    for (std::size_t k = 0; k < report.size() && k < set.report_fields.size(); ++k) {
-      double v = report[k];
-      if (!std::isfinite(v)) continue;
-      if (set.report_fields[k] == ReportField::Utilization) {
-        util_mean += 0.03 * (v - util_mean);
+    double overload = 0;
+    for (std::size_t k = 0; k < report.size() && k < config.report_fields.size(); ++k) {
+      double value = report[k];
+      if (!std::isfinite(value)) continue;
+      if (config.report_fields[k] == ReportField::Utilization) {
+        mean_utilization += 0.03 * (value - mean_utilization);
         // Against the fleet: were all hot servers to shed, nearly every key would move and miss.
-        heat = std::max(heat, (v - std::max(kHotUtil, util_mean + kHotMargin)) / (1 - kHotUtil));
-      } else if (set.report_fields[k] == ReportField::Queue) {
-        queue_mean += 0.03 * (v - queue_mean);
-        heat = std::max(heat, std::min(2.0, (v - 2 - 2 * queue_mean) / (2 + queue_mean)));
+        overload =
+            std::max(overload, (value - std::max(kOverloadUtilization,
+                                                 mean_utilization + kOverloadUtilizationMargin)) /
+                                   (1 - kOverloadUtilization));
+      } else if (config.report_fields[k] == ReportField::Queue) {
+        mean_queue += 0.03 * (value - mean_queue);
+        overload =
+            std::max(overload, std::min(2.0, (value - 2 - 2 * mean_queue) / (2 + mean_queue)));
       }
     }
     // A server that gave up most of its keys is seen rarely: its return goes by the time passed.
-    double dt = static_cast<double>(now - s.report_at) / kSecond;
-    s.report_at = now;
-    s.load_live *= std::exp(heat > 0 ? -kHotRate * heat * std::min(1.0, dt)
-                                     : kCoolRate * std::min(kCoolSpan, dt));
-    s.load_live = std::clamp(s.load_live, kHotFloor, 1.0);
+    double seconds = static_cast<double>(now - server.report_at) / kSecond;
+    server.report_at = now;
+    server.load_live_fraction *= std::exp(
+        overload > 0 ? -kLoadShedRatePerSecond * overload * std::min(1.0, seconds)
+                     : kLoadRecoveryRatePerSecond * std::min(kMaxReportIntervalSeconds, seconds));
+    server.load_live_fraction = std::clamp(server.load_live_fraction, kMinLoadLiveFraction, 1.0);
   }
 
   // ---- admission ----
-  double rate_fade() const {
-    return std::exp(-static_cast<double>(now - rate_at) / (kRateSpan * kSecond));
+  double rate_decay() const {
+    return std::exp(-static_cast<double>(now - rates_decayed_at) / (kRateWindowSeconds * kSecond));
   }
 
-  double sent_rate() const {  // per second; not of arrivals: what is refused loads no server
-    double span = std::max(0.2, std::min(kRateSpan, static_cast<double>(now - born) / kSecond));
-    return rate_sum * rate_fade() / span;
+  double attempts_per_second()
+      const {  // per second; not of arrivals: what is refused loads no server
+    double window_seconds = std::max(
+        0.2, std::min(kRateWindowSeconds, static_cast<double>(now - started_at) / kSecond));
+    return attempt_rate_sum * rate_decay() / window_seconds;
   }
 
-  double cost_of(const Open& o) const {
-    if (!o.request.work || mean_work <= 0) {  // no hints: by the latency usual for the class
-      const ClassState& c = *o.cls;
-      return c.seen < 5 ? 1 : std::clamp(std::exp(c.mean_log - mean_log), 0.2, 5.0);
+  double cost_of(const OpenRequest& open) const {
+    if (!open.request.work || mean_work <= 0) {  // no hints: by the latency usual for the class
+      const ClassState& class_state = *open.class_state;
+      return class_state.samples < 5
+                 ? 1
+                 : std::clamp(std::exp(class_state.mean_log_latency - mean_log_latency), 0.2, 5.0);
     }
-    return std::clamp(static_cast<double>(*o.request.work) / mean_work, 0.2, 5.0);
+    return std::clamp(static_cast<double>(*open.request.work) / mean_work, 0.2, 5.0);
   }
 
   /// The admitted part shrinks a little while many admitted requests end unserved or late, and
@@ -684,223 +763,243 @@
   /// few were left, and one that moved in large steps swung between refusing nearly all and a jam.
   /// Keys that were answered lately have a door of their own: a jammed origin makes the others end
   /// badly and leaves these alone, overloaded servers make both.
-  void step_shed() {
-    if (now - shed_at < kShedStep) return;
-    for (bool held : {false, true}) {
-      Door& d = doors[held];
-      double cut = held ? kAdmitCutHeld : kAdmitCut;
-      double bad = d.bad / (d.good + d.bad + kShedPrior);
-      double grow = bad > kShedBad ? 0 : std::min(1.0, 2 * (1 - bad / kShedBad));
-      double admitted =
-          (1 - d.shed) * (1 + (grow > 0 ? kAdmitGrow * grow : -cut * bad)) + kAdmitStep * grow;
-      d.shed = 1 - std::clamp(admitted, kAdmitMin, 1.0);
-      d.good *= kShedFade, d.bad *= kShedFade;
+  void update_admission() {
+    if (now - admission_updated_at < kAdmissionInterval) return;
+    for (bool cached : {false, true}) {
+      AdmissionState& state = admission[cached];
+      double decrease = cached ? kCachedAdmissionDecreaseFraction : kAdmissionDecreaseFraction;
+      double bad_fraction =
+          state.bad_results / (state.good_results + state.bad_results + kPriorGoodResults);
+      double increase = bad_fraction > kMaxBadResultFraction
+                            ? 0
+                            : std::min(1.0, 2 * (1 - bad_fraction / kMaxBadResultFraction));
+      double admitted_fraction =
+          (1 - state.shed_fraction) * (1 + (increase > 0 ? kAdmissionIncreaseFraction * increase
+                                                         : -decrease * bad_fraction)) +
+          kAdmissionIncreaseStep * increase;
+      state.shed_fraction = 1 - std::clamp(admitted_fraction, kMinAdmittedFraction, 1.0);
+      state.good_results *= kAdmissionCountDecayFactor,
+          state.bad_results *= kAdmissionCountDecayFactor;
     }
-    shed_at = now;
+    admission_updated_at = now;
   }
 
-  bool shedding() const { return doors[0].shed > 0 || doors[1].shed > 0; }
+  bool shedding() const { return admission[0].shed_fraction > 0 || admission[1].shed_fraction > 0; }
 
   /// Whether the request is turned away at the door.
-  bool turn_away(const Open& o) {
-    step_shed();
-    const ClassSettings& c = o.cls->rules;
-    double shed = doors[o.held].shed;
-    double chance = shed;
+  bool should_shed(const OpenRequest& open) {
+    update_admission();
+    const ClassSettings& class_settings = open.class_state->settings;
+    double shed_fraction = admission[open.cached].shed_fraction;
+    double probability = shed_fraction;
     // Around the mean worth of what comes, so that all together lose the shed part and no more:
     // taken from the best class, the bulk of the traffic was refused whole and servers stood idle.
-    double value = c.worth / (set.worth_by_work ? 1 : cost_of(o));
-    mean_value += (mean_value <= 0 ? 1 : 0.02) * (value - mean_value);
-    if (value > 0) chance *= std::clamp(mean_value / value, kShedLeast, kShedMost);
-    chance = std::min(chance, 1 - kAdmitMin / 2);
-    for (const TenantSettings& t : set.tenants) {
-      if (t.name != o.request.tenant || t.quota_per_s <= 0) continue;
-      double quota = t.quota_per_s / std::max(1, set.routers);
-      double own = tenant_rate[o.request.tenant] / kRateSpan;
-      if (own > quota) chance += std::min(1.0, 4 * shed) * (1 - quota / own);
+    double worth = class_settings.worth / (config.worth_by_work ? 1 : cost_of(open));
+    mean_worth += (mean_worth <= 0 ? 1 : 0.02) * (worth - mean_worth);
+    if (worth > 0) probability *= std::clamp(mean_worth / worth, kMinShedFactor, kMaxShedFactor);
+    probability = std::min(probability, 1 - kMinAdmittedFraction / 2);
+    for (const TenantSettings& tenant : config.tenants) {
+      if (tenant.name != open.request.tenant || tenant.quota_per_s <= 0) continue;
+      double quota = tenant.quota_per_s / std::max(1, config.routers);
+      double admitted_rate = tenant_rates[open.request.tenant] / kRateWindowSeconds;
+      if (admitted_rate > quota)
+        probability += std::min(1.0, 4 * shed_fraction) * (1 - quota / admitted_rate);
     }
-    if (shed <= 0) return false;
-    if (o.request.key.empty()) return random() < chance;
+    if (shed_fraction <= 0) return false;
+    if (open.request.key.empty()) return random() < probability;
     // By key, alike at every router: what is let in stays cached and is answered by hits, so a
     // fleet whose copies went void and whose origin is jammed fills again key by key, the wanted
     // ones first. Refusing at random, every key's misses went on and the origin never caught up.
-    if (o.seen >= kWantedSeen) chance *= chance;
-    return depth_of(mix(~o.name)) < chance;
+    if (open.recent_requests >= kLikelyCachedRequests) probability *= probability;
+    return position_in_slot(mix(~open.key_hash)) < probability;
   }
 
-  void fade_rates() {
-    if (rate_at == now) return;
-    double fade = rate_fade();
-    rate_sum *= fade;
-    for (auto& [name, rate] : tenant_rate) rate *= fade;
-    rate_at = now;
+  void decay_rates() {
+    if (rates_decayed_at == now) return;
+    double factor = rate_decay();
+    attempt_rate_sum *= factor;
+    for (auto& [name, rate] : tenant_rates) rate *= factor;
+    rates_decayed_at = now;
   }
 
-  void count_arrival(const Open& o) {
-    fade_rates();
-    if (o.request.work) {
-      double work = static_cast<double>(*o.request.work);
+  void record_arrival(const OpenRequest& open) {
+    decay_rates();
+    if (open.request.work) {
+      double work = static_cast<double>(*open.request.work);
       mean_work += (mean_work <= 0 ? 1 : 0.02) * (work - mean_work);
     }
-    retry_tokens = std::min(kRetryCap, retry_tokens + kRetryPerRequest);
-    copy_tokens = std::min(kCopyCap, copy_tokens + kCopyPerRequest);
+    retry_tokens = std::min(kMaxRetryTokens, retry_tokens + kRetryTokensPerRequest);
+    hedge_tokens = std::min(kMaxHedgeTokens, hedge_tokens + kHedgeTokensPerRequest);
   }
 
   // ---- attempts ----
-  bool tried(const Open& o, int server) const {
-    return std::any_of(o.attempts.begin(), o.attempts.end(),
-                       [&](const Attempt& a) { return a.server == server; });
+  bool tried(const OpenRequest& open, int index) const {
+    return std::any_of(open.attempts.begin(), open.attempts.end(),
+                       [&](const Attempt& a) { return a.server == index; });
   }
-  bool any_out(const Open& o) const {
-    return std::any_of(o.attempts.begin(), o.attempts.end(),
-                       [](const Attempt& a) { return a.ran == Ran::Out; });
+  bool any_pending(const OpenRequest& open) const {
+    return std::any_of(open.attempts.begin(), open.attempts.end(),
+                       [](const Attempt& a) { return a.execution == Execution::Pending; });
   }
-  bool may_have_run(const Open& o) const {
-    return std::any_of(o.attempts.begin(), o.attempts.end(),
-                       [](const Attempt& a) { return a.ran != Ran::Never; });
+  bool may_have_run(const OpenRequest& open) const {
+    return std::any_of(open.attempts.begin(), open.attempts.end(),
+                       [](const Attempt& a) { return a.execution != Execution::NeverRan; });
   }
 
   /// When the servers' memory of what a keyed request may have done begins to end.
-  Micros repeatable_until(const Open& o) const {
-    Micros until = Send::kAnyTime;
-    for (const Attempt& a : o.attempts)
-      if (o.cls->rules.effect == Effect::Keyed && a.ran != Ran::Never)
-        until = std::min(until, a.sent + o.cls->rules.key_ttl - 2 * set.timer_granularity);
-    return until;
+  Micros repeat_deadline(const OpenRequest& open) const {
+    Micros deadline = Send::kAnyTime;
+    for (const Attempt& attempt : open.attempts)
+      if (open.class_state->settings.effect == Effect::Keyed &&
+          attempt.execution != Execution::NeverRan)
+        deadline = std::min(deadline, attempt.sent + open.class_state->settings.key_ttl -
+                                          2 * config.timer_granularity);
+    return deadline;
   }
 
   /// Rules 2 and 3 for one more attempt at `server`.
-  bool may_send(const Open& o, int server) const {
-    const ServerState& to = servers[server];
-    if (!usable(to) || static_cast<int>(o.attempts.size()) >= set.max_attempts) return false;
-    if (!set.may_hedge && any_out(o)) return false;
-    const ClassSettings& c = o.cls->rules;
-    if (c.effect == Effect::Repeatable) return true;
-    if (now >= repeatable_until(o)) return false;
-    for (const Attempt& a : o.attempts) {
-      if (a.ran == Ran::Never) continue;
-      if (c.effect == Effect::Once) return false;
-      const Server& from = servers[a.server].listed;
-      if (c.group == Group::Zone && from.zone != to.listed.zone) return false;
-      if (c.group == Group::Cell && (from.cell < 0 || from.cell != to.listed.cell)) return false;
+  bool may_send(const OpenRequest& open, int index) const {
+    const ServerState& to = servers[index];
+    if (!usable(to) || static_cast<int>(open.attempts.size()) >= config.max_attempts) return false;
+    if (!config.may_hedge && any_pending(open)) return false;
+    const ClassSettings& class_settings = open.class_state->settings;
+    if (class_settings.effect == Effect::Repeatable) return true;
+    if (now >= repeat_deadline(open)) return false;
+    for (const Attempt& attempt : open.attempts) {
+      if (attempt.execution == Execution::NeverRan) continue;
+      if (class_settings.effect == Effect::Once) return false;
+      const Server& from = servers[attempt.server].listed;
+      if (class_settings.group == Group::Zone && from.zone != to.listed.zone) return false;
+      if (class_settings.group == Group::Cell && (from.cell < 0 || from.cell != to.listed.cell))
+        return false;
     }
     return true;
   }
 
-  bool may_refuse(const Open& o) const {
-    const ClassSettings& c = o.cls->rules;
-    if (c.effect == Effect::Repeatable || !may_have_run(o)) return true;
-    return c.effect == Effect::Keyed && c.group == Group::All;
+  bool may_refuse(const OpenRequest& open) const {
+    const ClassSettings& class_settings = open.class_state->settings;
+    if (class_settings.effect == Effect::Repeatable || !may_have_run(open)) return true;
+    return class_settings.effect == Effect::Keyed && class_settings.group == Group::All;
   }
 
-  void timer(Micros after, RequestId id, TimerKind kind) {
-    out.push_back(Timer{std::max<Micros>(after, 1), id << 2 | kind, kind == kAskTimer ? 0 : id});
+  void add_timer(Micros after, RequestId id, TimerKind kind) {
+    actions.push_back(
+        Timer{std::max<Micros>(after, 1), id << 2 | kind, kind == kListTimer ? 0 : id});
   }
 
   /// With `fault` it ends for a reason that tells nothing of load, so the doors don't count it.
-  void finish(Open& o, bool fault = false) {
-    if (o.closed) return;
-    o.closed = true;
-    if (!o.attempts.empty() && !fault) note_end(o, false, false);
-    if (may_refuse(o))
-      out.push_back(Refuse{o.request.id, set.retry_after ? set.max_retry_after / 4 : 0});
+  void finish(OpenRequest& open, bool isolated = false) {
+    if (open.closed) return;
+    open.closed = true;
+    if (!open.attempts.empty() && !isolated) record_result(open, false, false);
+    if (may_refuse(open))
+      actions.push_back(
+          Refuse{open.request.id, config.retry_after ? config.max_retry_after / 4 : 0});
     else
-      out.push_back(Fail{o.request.id});
-    cancel_rest(o);
+      actions.push_back(Fail{open.request.id});
+    cancel_pending(open);
   }
 
-  void cancel_rest(const Open& o, int except = -1) {
-    if (!set.may_cancel) return;
-    for (std::size_t k = 0; k < o.attempts.size(); ++k)
-      if (o.attempts[k].ran == Ran::Out && static_cast<int>(k) != except)
-        out.push_back(Cancel{o.request.id, static_cast<int>(k)});
+  void cancel_pending(const OpenRequest& open, int except = -1) {
+    if (!config.may_cancel) return;
+    for (std::size_t k = 0; k < open.attempts.size(); ++k)
+      if (open.attempts[k].execution == Execution::Pending && static_cast<int>(k) != except)
+        actions.push_back(Cancel{open.request.id, static_cast<int>(k)});
   }
 
-  void forget_if_done(RequestId id) {
-    auto it = open.find(id);
-    if (it == open.end() || !it->second.closed || any_out(it->second)) return;
-    for (const Attempt& a : it->second.attempts) --servers[a.server].named;
-    open.drop(it);
+  void erase_if_done(RequestId id) {
+    auto it = open_requests.find(id);
+    if (it == open_requests.end() || !it->second.closed || any_pending(it->second)) return;
+    for (const Attempt& attempt : it->second.attempts) --servers[attempt.server].references;
+    open_requests.drop(it);
   }
 
-  Micros patience(const Open& o) const {
-    const ClassState& c = *o.cls;
-    double usual = c.seen > 0 ? c.quantile : static_cast<double>(c.rules.latency_objective) / 2;
-    return static_cast<Micros>(
-        std::max(kPatienceFactor * usual, 4.0 * static_cast<double>(set.timer_granularity)));
+  Micros attempt_timeout(const OpenRequest& open) const {
+    const ClassState& class_state = *open.class_state;
+    double usual_latency = class_state.samples > 0
+                               ? class_state.latency_quantile
+                               : static_cast<double>(class_state.settings.latency_objective) / 2;
+    return static_cast<Micros>(std::max(kAttemptTimeoutFactor * usual_latency,
+                                        4.0 * static_cast<double>(config.timer_granularity)));
   }
 
   /// Whether an attempt that is out when the client's time ends is a stall: out for longer than
   /// nearly all take, as clients give a try up before patience() ends where misses take long. Not
   /// where servers are met often: there an overload looks like many stalls.
-  bool stalled(const Open& o, const Attempt& a) const {
-    auto wait = static_cast<double>(patience(o));
-    double usual = std::max(o.cls->quantile, 4.0 * static_cast<double>(set.timer_granularity));
-    return static_cast<double>(now - a.sent) > (seldom() ? std::min(wait, usual) : wait);
+  bool is_timeout(const OpenRequest& open, const Attempt& attempt) const {
+    auto timeout = static_cast<double>(attempt_timeout(open));
+    double usual_latency = std::max(open.class_state->latency_quantile,
+                                    4.0 * static_cast<double>(config.timer_granularity));
+    return static_cast<double>(now - attempt.sent) >
+           (low_traffic() ? std::min(timeout, usual_latency) : timeout);
   }
 
   /// Aside mode: writes, and reads that a cache answered with a miss, go to the origin.
-  bool wants_origin(const Open& o) const {
-    return set.cache_aside && !set.origin_kind.empty() && (o.request.write || o.missed);
+  bool needs_origin(const OpenRequest& open) const {
+    return config.cache_aside && !config.origin_kind.empty() &&
+           (open.request.write || open.cache_missed);
   }
 
   /// The origin is never carved: its usable member with the fewest own attempts out.
-  bool send_to_origin(Open& o) {
+  bool send_to_origin(OpenRequest& open) {
     int best = -1;
-    for (const auto& [id, i] : index)
-      if (is_origin(servers[i]) && may_send(o, i) &&
+    for (const auto& [id, i] : index_by_id)
+      if (is_origin(servers[i]) && may_send(open, i) &&
           (best < 0 || servers[i].in_flight < servers[best].in_flight))
         best = i;
     if (best < 0) return false;
-    dispatch(o, best);
+    start_attempt(open, best);
     return true;
   }
 
   /// Sends the request onward along its walk; false when no server may take it.
-  bool send(Open& o) {
+  bool send(OpenRequest& open) {
     refresh();
-    if (wants_origin(o)) return send_to_origin(o);
-    bool first = o.attempts.empty();
-    bool keep_near = false;
-    Saved* key = first && !o.request.key.empty() ? &seed_of(o.name) : nullptr;
-    if (first) o.seed = key ? key->seed : mix(rng = mix(rng + 1));
-    if (set.cross_zone_charge > 0 && near_pull > 0) keep_near = first ? popular(o.seen) : true;
-    Landing at = walk(o.seed, o, keep_near);
-    if (at.server < 0 && keep_near) at = walk(o.seed, o, false);
-    if (at.server < 0) at = last_resort(o);
-    if (at.server < 0) return false;
-    o.seed = at.seed;
+    if (needs_origin(open)) return send_to_origin(open);
+    bool first = open.attempts.empty();
+    bool prefer_local = false;
+    SavedSeed* saved = first && !open.request.key.empty() ? &seed_for(open.key_hash) : nullptr;
+    if (first) open.seed = saved ? saved->seed : mix(rng_state = mix(rng_state + 1));
+    if (config.cross_zone_charge > 0 && zone_affinity > 0)
+      prefer_local = first ? zone_replica_pays(open.recent_requests) : true;
+    Selection selection = walk(open.seed, open, prefer_local);
+    if (selection.server < 0 && prefer_local) selection = walk(open.seed, open, false);
+    if (selection.server < 0) selection = rendezvous_fallback(open);
+    if (selection.server < 0) return false;
+    open.seed = selection.seed;
     // Admitted ones only: clients repeat what is refused, which is no use of the quota.
-    auto tenant = tenant_rate.find(o.request.tenant);
-    if (first && tenant != tenant_rate.end()) tenant->second += 1;
-    if (key) {
-      if (key->drawn++ == 0) key->home = at.server;
-      key->seed = at.seed;
+    auto tenant = tenant_rates.find(open.request.tenant);
+    if (first && tenant != tenant_rates.end()) tenant->second += 1;
+    if (saved) {
+      if (saved->landings++ == 0) saved->first_server = selection.server;
+      saved->seed = selection.seed;
     }
-    dispatch(o, at.server);
+    start_attempt(open, selection.server);
     return true;
   }
 
-  void dispatch(Open& o, int server) {
-    ServerState& s = servers[server];
-    Micros until = repeatable_until(o);
-    o.attempts.push_back({server, now});
-    ++s.in_flight, ++total_in_flight, ++s.named;
-    fade_rates();
-    rate_sum += cost_of(o);
-    if (cold(s)) s.cold_tokens -= cost_of(o);
-    Micros left = o.deadline - now;
-    Micros wait = patience(o);
-    bool again = static_cast<int>(o.attempts.size()) < set.max_attempts &&
-                 o.cls->rules.effect != Effect::Once && !o.cls->rules.streamed;
-    Micros limit = 0;
-    if (again && wait * 3 / 2 < left && !is_origin(s)) {  // never a second copy at the origin
-      if (set.may_hedge)
-        timer(wait, o.request.id, kCopyTimer);
+  void start_attempt(OpenRequest& open, int index) {
+    ServerState& server = servers[index];
+    Micros send_before = repeat_deadline(open);
+    open.attempts.push_back({index, now});
+    ++server.in_flight, ++total_in_flight, ++server.references;
+    decay_rates();
+    attempt_rate_sum += cost_of(open);
+    if (in_slow_start(server)) server.slow_start_tokens -= cost_of(open);
+    Micros remaining = open.deadline - now;
+    Micros timeout = attempt_timeout(open);
+    bool may_repeat = static_cast<int>(open.attempts.size()) < config.max_attempts &&
+                      open.class_state->settings.effect != Effect::Once &&
+                      !open.class_state->settings.streamed;
+    Micros attempt_limit = 0;
+    if (may_repeat && timeout * 3 / 2 < remaining &&
+        !is_origin(server)) {  // never a second copy at the origin
+      if (config.may_hedge)
+        add_timer(timeout, open.request.id, kHedgeTimer);
       else
-        limit = wait;
+        attempt_limit = timeout;
     }
-    out.push_back(Send{o.request.id, s.listed.id, limit, until});
+    actions.push_back(Send{open.request.id, server.listed.id, attempt_limit, send_before});
   }
 
   /// A broken connection, or a failure of a server that stands out by it: the fault of one server
@@ -908,162 +1007,171 @@
   /// worth a try also while requests are refused. It should cover spoilt answers, crashes and
   /// servers that fail whatever they get; it hurts where servers that are overloaded break
   /// connections instead of refusing.
-  bool is_fault(Status why, const ServerState& s) const {
-    if (why == Status::Error) return stands_out(s, kErrors);
-    if (why == Status::Timeout) return stands_out(s, kStalls);
-    return why == Status::Reset || why == Status::StaleConnection;
-  }
-
-  void go_on(Open& o, Status why) {
-    if (o.closed || any_out(o)) return;
-    const ServerState& last = servers[o.attempts.back().server];
-    bool fault = is_fault(why, last);
-    bool never_left = why == Status::ConnectFailed || why == Status::NotSent;
-    bool cheap = why == Status::Overloaded || never_left;
+  bool is_isolated_failure(Status status, const ServerState& server) const {
+    if (status == Status::Error) return is_outlier(server, kErrors);
+    if (status == Status::Timeout) return is_outlier(server, kTimeouts);
+    return status == Status::Reset || status == Status::StaleConnection;
+  }
+
+  void retry_or_finish(OpenRequest& open, Status status) {
+    if (open.closed || any_pending(open)) return;
+    const ServerState& server = servers[open.attempts.back().server];
+    bool isolated = is_isolated_failure(status, server);
+    bool never_sent = status == Status::ConnectFailed || status == Status::NotSent;
+    bool never_ran = status == Status::Overloaded || never_sent;
     // The first break of a kept connection is tried again whatever the budget holds, as it tells
     // nothing of the load. This should cover time-outs of idle connections on the way and restarts
     // behind a balancer; it hurts where servers that are overloaded break connections, so not once
     // more than a few do.
-    bool stale = why == Status::StaleConnection && o.attempts.size() == 1 && broken < kUsualBreaks;
-    double price = stale ? 0 : cheap ? 0.25 : fault ? 0.5 : 1;
-    bool time_left = o.deadline - now > 2 * set.timer_granularity;
-    if (why == Status::Miss && time_left && send(o)) return;  // no failure: no tokens
+    bool stale_connection = status == Status::StaleConnection && open.attempts.size() == 1 &&
+                            disconnect_rate < kMaxBenignDisconnectFraction;
+    double cost = stale_connection ? 0 : never_ran ? 0.25 : isolated ? 0.5 : 1;
+    bool time_left = open.deadline - now > 2 * config.timer_granularity;
+    if (status == Status::Miss && time_left && send(open)) return;  // no failure: no tokens
     // A fetch that failed ends in an error, and another server would only ask the origin once more:
     // what jams it. Errors are worth a retry where they come from one server and not from others.
-    bool futile = why == Status::Error && !fault &&
-                  (usual_failing[kErrors] > kFutileErrors || last.doubt < kServerErrs);
+    bool no_retry = status == Status::Error && !isolated &&
+                    (baseline_failure_rates[kErrors] > kMaxRetriableErrorFraction ||
+                     server.failure_score < kErrorAttributionScore);
     // Nor anything while requests are refused: a retry would take the place of a first try. A
     // refused connection cost nobody.
-    futile |= !never_left && !fault && shedding();
-    if (!futile && time_left && retry_tokens >= price) {
-      retry_tokens -= price;
-      if (send(o)) return;
+    no_retry |= !never_sent && !isolated && shedding();
+    if (!no_retry && time_left && retry_tokens >= cost) {
+      retry_tokens -= cost;
+      if (send(open)) return;
     }
-    finish(o, fault);
+    finish(open, isolated);
   }
 
   // ---- list ----
-  void ask(Micros after) { timer(after, ++ask_token, kAskTimer); }
+  void schedule_list_request(Micros after) { add_timer(after, ++list_timer_token, kListTimer); }
 
-  void list_failed() {
-    watching = asking = false;
-    double pause = kAskPause * (0.5 + random());
-    ask(static_cast<Micros>(std::min(pause, 0.8 * static_cast<double>(set.list_refresh_interval))));
+  void handle_list_failure() {
+    watching = watch_pending = false;
+    double delay = kListRetryBackoff * (0.5 + random());
+    schedule_list_request(static_cast<Micros>(
+        std::min(delay, 0.8 * static_cast<double>(config.list_refresh_interval))));
   }
 
-  void take_entry(const Server& e) {
-    int place = spare.empty() ? static_cast<int>(servers.size()) : spare.back();
-    auto [it, fresh] = index.try_emplace(e.id, place);
-    if (fresh && !spare.empty())
-      spare.pop_back();
-    else if (fresh)
+  void update_server(const Server& entry) {
+    int new_index = free_indices.empty() ? static_cast<int>(servers.size()) : free_indices.back();
+    auto [position, inserted] = index_by_id.try_emplace(entry.id, new_index);
+    if (inserted && !free_indices.empty())
+      free_indices.pop_back();
+    else if (inserted)
       servers.emplace_back();
-    ServerState& s = servers[it->second];
-    bool restarted = e.up_since != s.listed.up_since || !s.present;
-    Server was = std::move(s.listed);
-    s.listed = e;
-    if (!std::isfinite(e.weight) || e.weight < 0) s.listed.weight = 1;
-    if (e.health == Health::Removed && e.zone.empty())
-      s.listed.zone = was.zone, s.listed.cell = was.cell;
-    s.present = e.health != Health::Removed;
-    s.zone = &zones[zones.count(s.listed.zone) ? s.listed.zone : ""];
-    if (restarted && s.present) {  // a new process: what was held against the old one is void
-      s.doubt = 0, s.strikes = 0, s.dead_until = 0, s.returned_at = 0;
-      s.slow_log = 0, s.slow_seen = 0, s.load_live = 1, s.crowded = 0, s.failing = {};
-      s.cold_tokens = random(), s.cold_at = now;
+    ServerState& server = servers[position->second];
+    bool restarted = entry.up_since != server.listed.up_since || !server.present;
+    Server previous = std::move(server.listed);
+    server.listed = entry;
+    if (!std::isfinite(entry.weight) || entry.weight < 0) server.listed.weight = 1;
+    if (entry.health == Health::Removed && entry.zone.empty())
+      server.listed.zone = previous.zone, server.listed.cell = previous.cell;
+    server.present = entry.health != Health::Removed;
+    server.zone = &zones[zones.count(server.listed.zone) ? server.listed.zone : ""];
+    if (restarted && server.present) {  // a new process: what was held against the old one is void
+      server.failure_score = 0, server.consecutive_ejections = 0, server.ejected_until = 0,
+      server.recovery_start = 0;
+      server.log_latency_ratio = 0, server.latency_samples = 0, server.load_live_fraction = 1,
+      server.rejection_penalty = 0, server.failure_rates = {};
+      server.slow_start_tokens = random(), server.slow_start_refilled_at = now;
     }
   }
 
   /// Forgets servers that have left once no open request names them: where each machine that is
   /// replaced comes back under a new id, all that is kept of old ones would grow for ever.
-  void forget_gone() {
-    for (auto it = index.begin(); it != index.end();) {
+  void erase_removed_servers() {
+    for (auto it = index_by_id.begin(); it != index_by_id.end();) {
       int i = it->second;
-      if (servers[i].present || servers[i].named > 0) {
+      if (servers[i].present || servers[i].references > 0) {
         ++it;
         continue;
       }
-      for (auto& [name, key] : saved)
-        if (key.home == i) key.home = -1;
+      for (auto& [name, seed] : saved_seeds)
+        if (seed.first_server == i) seed.first_server = -1;
       servers[i] = ServerState();
-      spare.push_back(i);
-      it = index.erase(it);
+      free_indices.push_back(i);
+      it = index_by_id.erase(it);
     }
   }
 
-  void check_settings() const {
-    auto part = [](double v) { return std::isfinite(v) && v >= 0 && v <= 1; };
-    auto amount = [](double v) { return std::isfinite(v) && v >= 0; };
-    require(!set.classes.empty(), "classes");
-    for (const ClassSettings& c : set.classes) {
-      require(c.latency_objective >= 0, "classes.aim");
-      require(c.deadline >= 0, "classes.deadline");
-      require(c.key_ttl >= 0, "classes.key_ttl");
-      require(amount(c.worth), "classes.worth");
-      require(amount(c.late_worth), "classes.late_worth");
+  void validate() const {
+    auto is_fraction = [](double value) {
+      return std::isfinite(value) && value >= 0 && value <= 1;
+    };
+    auto is_amount = [](double value) { return std::isfinite(value) && value >= 0; };
+    require(!config.classes.empty(), "classes");
+    for (const ClassSettings& class_settings : config.classes) {
+      require(class_settings.latency_objective >= 0, "classes.aim");
+      require(class_settings.deadline >= 0, "classes.deadline");
+      require(class_settings.key_ttl >= 0, "classes.key_ttl");
+      require(is_amount(class_settings.worth), "classes.worth");
+      require(is_amount(class_settings.late_worth), "classes.late_worth");
     }
-    for (const TenantSettings& t : set.tenants) {
-      require(part(t.portion), "tenants.portion");
-      require(amount(t.quota_per_s), "tenants.quota_per_s");
+    for (const TenantSettings& tenant : config.tenants) {
+      require(is_fraction(tenant.portion), "tenants.portion");
+      require(is_amount(tenant.quota_per_s), "tenants.quota_per_s");
     }
-    require(set.routers >= 1, "routers");
-    require(set.max_attempts >= 1, "max_attempts");
-    require(set.timer_granularity >= 0, "tick");
-    require(set.answer_slack >= 0, "answer_slack");
-    require(set.list_refresh_interval >= 0, "ask_within");
-    require(set.drain_grace >= 0, "drain_grace");
-    require(set.max_retry_after >= 0, "max_retry_after");
-    require(set.slow_start_window >= 0, "cold_time");
-    require(set.overload_window >= 0, "tip_after");
-    require(part(set.slow_start_min_fraction), "cold_share");
-    require(amount(set.overload_factor), "overload_factor");
-    require(amount(set.cross_zone_charge), "cross_zone_charge");
+    require(config.routers >= 1, "routers");
+    require(config.max_attempts >= 1, "max_attempts");
+    require(config.timer_granularity >= 0, "tick");
+    require(config.answer_slack >= 0, "answer_slack");
+    require(config.list_refresh_interval >= 0, "ask_within");
+    require(config.drain_grace >= 0, "drain_grace");
+    require(config.max_retry_after >= 0, "max_retry_after");
+    require(config.slow_start_window >= 0, "cold_time");
+    require(config.overload_window >= 0, "tip_after");
+    require(is_fraction(config.slow_start_min_fraction), "cold_share");
+    require(is_amount(config.overload_factor), "overload_factor");
+    require(is_amount(config.cross_zone_charge), "cross_zone_charge");
   }
 
   /// What was seen of a class or tenant is kept under its name.
-  void use(const Settings& settings) {
-    set = settings;
-    check_settings();
-    for (const std::string& zone : set.zones) zones[zone];
-    std::vector<std::shared_ptr<ClassState>> fresh;
-    for (const ClassSettings& c : set.classes) {
-      auto seen = class_of(c.name);
-      fresh.push_back(
-          std::make_shared<ClassState>(seen && seen->rules.name == c.name ? *seen : ClassState()));
-      fresh.back()->rules = c;
+  void apply_settings(const Settings& settings) {
+    config = settings;
+    validate();
+    for (const std::string& zone : config.zones) zones[zone];
+    std::vector<std::shared_ptr<ClassState>> new_classes;
+    for (const ClassSettings& class_settings : config.classes) {
+      auto known = class_of(class_settings.name);
+      new_classes.push_back(std::make_shared<ClassState>(
+          known && known->settings.name == class_settings.name ? *known : ClassState()));
+      new_classes.back()->settings = class_settings;
     }
-    classes = std::move(fresh);
-    std::map<std::string, double> kept;
-    for (const TenantSettings& t : set.tenants) kept[t.name] = tenant_rate[t.name];
-    tenant_rate.swap(kept);
+    classes = std::move(new_classes);
+    std::map<std::string, double> kept_rates;
+    for (const TenantSettings& tenant : config.tenants)
+      kept_rates[tenant.name] = tenant_rates[tenant.name];
+    tenant_rates.swap(kept_rates);
   }
 
   /// An unknown one is treated as the first.
   std::shared_ptr<ClassState> class_of(const std::string& name) const {
-    for (const auto& c : classes)
-      if (c->rules.name == name) return c;
+    for (const auto& class_state : classes)
+      if (class_state->settings.name == name) return class_state;
     return classes.empty() ? nullptr : classes.front();
   }
 
-  void tick(Micros t) {
-    now = std::max(now, t);
-    out.clear();
+  void begin_call(Micros time) {
+    now = std::max(now, time);
+    actions.clear();
   }
 };
 
 Balancer::Balancer(const Settings& settings, std::uint64_t seed, Micros now)
     : impl_(std::make_unique<Impl>()) {
-  Impl& m = *impl_;
-  m.use(settings);
-  m.rng = mix(seed);
-  m.now = m.born = m.rate_at = m.shed_at = m.generation_at = now;
+  Impl& impl = *impl_;
+  impl.apply_settings(settings);
+  impl.rng_state = mix(seed);
+  impl.now = impl.started_at = impl.rates_decayed_at = impl.admission_updated_at =
+      impl.generation_start = now;
 }
 void Balancer::update_settings(const Settings& settings) {
-  Settings old = impl_->set;
+  Settings old = impl_->config;
   try {
-    impl_->use(settings);
+    impl_->apply_settings(settings);
   } catch (...) {
-    impl_->set = std::move(old);
+    impl_->config = std::move(old);
     throw;
   }
 }
@@ -1072,122 +1180,133 @@
 Balancer& Balancer::operator=(Balancer&&) noexcept = default;
 
 const Actions& Balancer::start(Micros now) {
-  Impl& m = *impl_;
-  m.tick(now);
-  if (m.set.list_on_demand)
-    m.ask(static_cast<Micros>(m.random() * kAskSpread *
-                              static_cast<double>(m.set.list_refresh_interval)));
-  return m.out;
+  Impl& impl = *impl_;
+  impl.begin_call(now);
+  if (impl.config.list_on_demand)
+    impl.schedule_list_request(
+        static_cast<Micros>(impl.random() * kListRequestJitterFraction *
+                            static_cast<double>(impl.config.list_refresh_interval)));
+  return impl.actions;
 }
 
 const Actions& Balancer::on_list(Micros now, ListScope scope, const std::vector<Server>& entries) {
-  Impl& m = *impl_;
-  m.tick(now);
+  Impl& impl = *impl_;
+  impl.begin_call(now);
   if (scope == ListScope::Failed) {
-    m.list_failed();
-    return m.out;
+    impl.handle_list_failure();
+    return impl.actions;
   }
-  if (scope != ListScope::Cached && m.asking) m.asking = false, m.watching = true;
+  if (scope != ListScope::Cached && impl.watch_pending)
+    impl.watch_pending = false, impl.watching = true;
   if (scope != ListScope::Delta) {
-    std::map<std::string, bool> named;
-    for (const Server& e : entries) named[e.id] = true;
-    for (auto& [id, i] : m.index)
-      if (!named.count(id))
-        m.servers[i].present = false, m.servers[i].listed.health = Health::Removed;
-  }
-  for (const Server& e : entries) m.take_entry(e);
-  m.forget_gone();
-  m.carve();
-  return m.out;
+    std::map<std::string, bool> references;
+    for (const Server& entry : entries) references[entry.id] = true;
+    for (auto& [id, i] : impl.index_by_id)
+      if (!references.count(id))
+        impl.servers[i].present = false, impl.servers[i].listed.health = Health::Removed;
+  }
+  for (const Server& entry : entries) impl.update_server(entry);
+  impl.erase_removed_servers();
+  impl.assign_slots();
+  return impl.actions;
 }
 
 const Actions& Balancer::on_request(Micros now, const Request& request) {
-  Impl& m = *impl_;
-  m.tick(now);
-  auto [o, fresh] = m.open.enter(request.id);
-  if (!fresh) return m.out;
-  o.request = request;  // by assignment: an entry that was used before keeps its memory
-  o.attempts.clear();
-  o.closed = o.missed = o.held = o.reached = false;
-  o.seen = 0, o.seed = 0;
-  o.cls = m.class_of(request.type);
-  o.came = m.now;
-  o.deadline = m.now + std::max<Micros>(0, request.remaining);
-  m.count_arrival(o);
-  o.name = hash_name(request.key);
-  if (!request.key.empty()) m.count_key(o);
-  if (m.turn_away(o) || !m.send(o)) {
-    m.finish(o);
-    m.forget_if_done(request.id);
-    return m.out;
+  Impl& impl = *impl_;
+  impl.begin_call(now);
+  auto [open, inserted] = impl.open_requests.enter(request.id);
+  if (!inserted) return impl.actions;
+  open.request = request;  // by assignment: an entry that was used before keeps its memory
+  open.attempts.clear();
+  open.closed = open.cache_missed = open.cached = open.reached_server = false;
+  open.recent_requests = 0, open.seed = 0;
+  open.class_state = impl.class_of(request.type);
+  open.arrived_at = impl.now;
+  open.deadline = impl.now + std::max<Micros>(0, request.remaining);
+  impl.record_arrival(open);
+  open.key_hash = hash_string(request.key);
+  if (!request.key.empty()) impl.count_key(open);
+  if (impl.should_shed(open) || !impl.send(open)) {
+    impl.finish(open);
+    impl.erase_if_done(request.id);
+    return impl.actions;
   }
   // The last moment for an answer of our own, a little ahead of the client's.
-  m.timer(request.remaining - 2 * m.set.timer_granularity, request.id, kDeadlineTimer);
-  return m.out;
+  impl.add_timer(request.remaining - 2 * impl.config.timer_granularity, request.id, kDeadlineTimer);
+  return impl.actions;
 }
 
 const Actions& Balancer::on_response_start(Micros now, RequestId id, const std::string& server,
                                            int attempt, Micros) {
-  Impl& m = *impl_;
-  m.tick(now);
-  auto it = m.open.find(id);
-  auto at = m.index.find(server);
-  if (it == m.open.end() || at == m.index.end() || attempt < 0) return m.out;
-  Impl::Open& o = it->second;
-  m.note_success(m.servers[at->second]);
+  Impl& impl = *impl_;
+  impl.begin_call(now);
+  auto it = impl.open_requests.find(id);
+  auto at = impl.index_by_id.find(server);
+  if (it == impl.open_requests.end() || at == impl.index_by_id.end() || attempt < 0)
+    return impl.actions;
+  Impl::OpenRequest& open = it->second;
+  impl.record_success(impl.servers[at->second]);
   // The stream belongs to the client from here: no deadline, no further attempts.
-  if (!o.closed) m.note_end(o, true, m.now - o.came <= o.cls->rules.latency_objective);
-  o.closed = true;
-  m.cancel_rest(o, attempt);
-  return m.out;
+  if (!open.closed)
+    impl.record_result(open, true,
+                       impl.now - open.arrived_at <= open.class_state->settings.latency_objective);
+  open.closed = true;
+  impl.cancel_pending(open, attempt);
+  return impl.actions;
 }
 
-const Actions& Balancer::on_outcome(Micros now, const Outcome& r) {
-  Impl& m = *impl_;
-  m.tick(now);
-  auto it = m.open.find(r.id);
-  if (it == m.open.end()) return m.out;
-  Impl::Open& o = it->second;
-  if (r.attempt < 0 || r.attempt >= static_cast<int>(o.attempts.size())) return m.out;
-  Impl::Attempt& a = o.attempts[r.attempt];
-  if (a.ran != Impl::Ran::Out) return m.out;
-  Impl::ServerState& s = m.servers[a.server];
-  --s.in_flight, --m.total_in_flight;
-  bool never = r.status == Status::Overloaded || r.status == Status::ConnectFailed ||
-               r.status == Status::NotSent || r.status == Status::Miss;
-  a.ran = never ? Impl::Ran::Never : Impl::Ran::Maybe;
-  bool unreachable = r.status == Status::ConnectFailed;
-  o.reached |= !unreachable && r.status != Status::NotSent;
-  if (r.status <= Status::Overloaded || unreachable) m.note_reach(a.server, !unreachable);
-  m.note_report(s, r.report);
-  follow(m.errors, r.status == Status::Error);
-  follow(m.full, r.status == Status::Overloaded);
-  follow(m.broken, r.status == Status::StaleConnection || r.status == Status::Reset);
-  follow(m.unreachable, r.status == Status::ConnectFailed || r.status == Status::Reset);
-  switch (r.status) {
+const Actions& Balancer::on_outcome(Micros now, const Outcome& outcome) {
+  Impl& impl = *impl_;
+  impl.begin_call(now);
+  auto it = impl.open_requests.find(outcome.id);
+  if (it == impl.open_requests.end()) return impl.actions;
+  Impl::OpenRequest& open = it->second;
+  if (outcome.attempt < 0 || outcome.attempt >= static_cast<int>(open.attempts.size()))
+    return impl.actions;
+  Impl::Attempt& attempt = open.attempts[outcome.attempt];
+  if (attempt.execution != Impl::Execution::Pending) return impl.actions;
+  Impl::ServerState& server = impl.servers[attempt.server];
+  --server.in_flight, --impl.total_in_flight;
+  bool never_ran = outcome.status == Status::Overloaded ||
+                   outcome.status == Status::ConnectFailed || outcome.status == Status::NotSent ||
+                   outcome.status == Status::Miss;
+  attempt.execution = never_ran ? Impl::Execution::NeverRan : Impl::Execution::MayHaveRun;
+  bool unreachable_rate = outcome.status == Status::ConnectFailed;
+  open.reached_server |= !unreachable_rate && outcome.status != Status::NotSent;
+  if (outcome.status <= Status::Overloaded || unreachable_rate)
+    impl.record_reachability(attempt.server, !unreachable_rate);
+  impl.record_load_report(server, outcome.report);
+  update_rate(impl.error_rate, outcome.status == Status::Error);
+  update_rate(impl.overloaded_rate, outcome.status == Status::Overloaded);
+  update_rate(impl.disconnect_rate,
+              outcome.status == Status::StaleConnection || outcome.status == Status::Reset);
+  update_rate(impl.unreachable_rate,
+              outcome.status == Status::ConnectFailed || outcome.status == Status::Reset);
+  switch (outcome.status) {
     case Status::Ok:
-      m.note_success(s);
-      if (!m.is_origin(s)) m.note_latency(s, *o.cls, r.latency, true);
+      impl.record_success(server);
+      if (!impl.is_origin(server))
+        impl.record_latency(server, *open.class_state, outcome.latency, true);
       break;
     case Status::Miss:
-      m.note_success(s);
-      o.missed = true;
+      impl.record_success(server);
+      open.cache_missed = true;
       break;
     case Status::Overloaded:  // overloaded, not dead
-      m.note_full(s);
+      impl.record_overloaded(server);
       break;
     case Status::Timeout:
-      m.note_broken(s, Impl::kStalls, 1);
-      m.note_latency(s, *o.cls, r.latency, false);
+      impl.record_server_failure(server, Impl::kTimeouts, 1);
+      impl.record_latency(server, *open.class_state, outcome.latency, false);
       break;
     case Status::Error:
-      m.note_broken(s, Impl::kErrors, 0.5);
+      impl.record_server_failure(server, Impl::kErrors, 0.5);
       break;
     case Status::Reset:
-      m.note_broken(s, Impl::kResets, 1);
+      impl.record_server_failure(server, Impl::kResets, 1);
       break;
     case Status::ConnectFailed:
-      m.note_failure(s, 1, m.unreachable);
+      impl.record_failure(server, 1, impl.unreachable_rate);
       break;
     case Status::StaleConnection:  // tells of the connection: a server that is dead refuses the
                                    // next one
@@ -1195,91 +1314,97 @@
     case Status::NotSent:
       break;
   }
-  if (!o.closed && r.status == Status::Ok)
-    m.note_end(o, true, m.now - o.came <= o.cls->rules.latency_objective);
-  if (r.finished) {
-    if (!o.closed) m.cancel_rest(o);
-    o.closed = true;
+  if (!open.closed && outcome.status == Status::Ok)
+    impl.record_result(open, true,
+                       impl.now - open.arrived_at <= open.class_state->settings.latency_objective);
+  if (outcome.finished) {
+    if (!open.closed) impl.cancel_pending(open);
+    open.closed = true;
   } else {
-    m.go_on(o, r.status);
+    impl.retry_or_finish(open, outcome.status);
   }
-  m.forget_if_done(r.id);
-  return m.out;
+  impl.erase_if_done(outcome.id);
+  return impl.actions;
 }
 
 const Actions& Balancer::on_client_disconnect(Micros now, RequestId id) {
-  Impl& m = *impl_;
-  m.tick(now);
-  auto it = m.open.find(id);
-  if (it == m.open.end()) return m.out;
-  if (!it->second.closed) m.cancel_rest(it->second);
+  Impl& impl = *impl_;
+  impl.begin_call(now);
+  auto it = impl.open_requests.find(id);
+  if (it == impl.open_requests.end()) return impl.actions;
+  if (!it->second.closed) impl.cancel_pending(it->second);
   it->second.closed = true;
-  m.forget_if_done(id);
-  return m.out;
+  impl.erase_if_done(id);
+  return impl.actions;
 }
 
 const Actions& Balancer::on_timer(Micros now, std::uint64_t token) {
-  Impl& m = *impl_;
-  m.tick(now);
+  Impl& impl = *impl_;
+  impl.begin_call(now);
   std::uint64_t kind = token & 3, id = token >> 2;
-  if (kind == kAskTimer) {
-    if (id != m.ask_token || m.watching) return m.out;
-    m.asking = true;
-    m.out.push_back(Watch{});
-    m.ask(m.set.list_refresh_interval);  // asks again should no answer come at all
-    return m.out;
-  }
-  auto it = m.open.find(id);
-  if (it == m.open.end() || it->second.closed) return m.out;
-  Impl::Open& o = it->second;
+  if (kind == kListTimer) {
+    if (id != impl.list_timer_token || impl.watching) return impl.actions;
+    impl.watch_pending = true;
+    impl.actions.push_back(Watch{});
+    impl.schedule_list_request(
+        impl.config.list_refresh_interval);  // asks again should no answer come at all
+    return impl.actions;
+  }
+  auto it = impl.open_requests.find(id);
+  if (it == impl.open_requests.end() || it->second.closed) return impl.actions;
+  Impl::OpenRequest& open = it->second;
   if (kind == kDeadlineTimer) {
     // Nor does the end of one that came with less time than its aim tell of load: a client's last
     // retries. They ended unserved on idle servers, shut the doors, and brought on more retries.
-    bool fault = o.deadline - o.came < o.cls->rules.latency_objective;
-    for (const Impl::Attempt& a : o.attempts) {
-      if (a.ran != Impl::Ran::Out || !m.stalled(o, a)) continue;
-      fault |= m.stands_out(m.servers[a.server], Impl::kStalls);
-      m.note_broken(m.servers[a.server], Impl::kStalls, m.weight_of_first());
+    bool isolated = open.deadline - open.arrived_at < open.class_state->settings.latency_objective;
+    for (const Impl::Attempt& attempt : open.attempts) {
+      if (attempt.execution != Impl::Execution::Pending || !impl.is_timeout(open, attempt))
+        continue;
+      isolated |= impl.is_outlier(impl.servers[attempt.server], Impl::kTimeouts);
+      impl.record_server_failure(impl.servers[attempt.server], Impl::kTimeouts,
+                                 impl.timeout_weight());
     }
-    m.finish(o, fault);
-  } else if (kind == kCopyTimer && !o.attempts.empty() && o.attempts.back().ran == Impl::Ran::Out &&
-             m.now - o.attempts.back().sent >= m.patience(o) / 2) {
-    Impl::ServerState& s = m.servers[o.attempts.back().server];
-    m.note_broken(s, Impl::kStalls, 0.5);
-    if (m.copy_tokens >= 1 && (!m.shedding() || m.stands_out(s, Impl::kStalls))) {
-      m.copy_tokens -= 1;
-      m.send(o);
+    impl.finish(open, isolated);
+  } else if (kind == kHedgeTimer && !open.attempts.empty() &&
+             open.attempts.back().execution == Impl::Execution::Pending &&
+             impl.now - open.attempts.back().sent >= impl.attempt_timeout(open) / 2) {
+    Impl::ServerState& server = impl.servers[open.attempts.back().server];
+    impl.record_server_failure(server, Impl::kTimeouts, 0.5);
+    if (impl.hedge_tokens >= 1 && (!impl.shedding() || impl.is_outlier(server, Impl::kTimeouts))) {
+      impl.hedge_tokens -= 1;
+      impl.send(open);
     }
   }
-  m.forget_if_done(id);
-  return m.out;
+  impl.erase_if_done(id);
+  return impl.actions;
 }
 
 const Actions& Balancer::on_probe(Micros now, const std::string& server, Status status, Micros,
                                   const Report& report) {
-  Impl& m = *impl_;
-  m.tick(now);
-  auto at = m.index.find(server);
-  if (at == m.index.end()) return m.out;
-  if (status == Status::Ok) m.note_report(m.servers[at->second], report);
-  return m.out;
+  Impl& impl = *impl_;
+  impl.begin_call(now);
+  auto at = impl.index_by_id.find(server);
+  if (at == impl.index_by_id.end()) return impl.actions;
+  if (status == Status::Ok) impl.record_load_report(impl.servers[at->second], report);
+  return impl.actions;
 }
 
 Balancer::Stats Balancer::stats() const {
-  return {impl_->open.size(), impl_->saved.size(),
-          impl_->counts[0].size() + impl_->counts[1].size(), impl_->index.size(), impl_->draws};
+  return {impl_->open_requests.size(), impl_->saved_seeds.size(),
+          impl_->key_counts[0].size() + impl_->key_counts[1].size(), impl_->index_by_id.size(),
+          impl_->draws};
 }
 
 std::string Balancer::preferred_server(const std::string& key) const {
-  std::uint64_t seed = hash_name(key);
-  int left = kMaxDraws;
-  int i = impl_->next_live(seed, left);
+  std::uint64_t seed = hash_string(key);
+  int left = kMaxDrawsPerWalk;
+  int i = impl_->next_live_server(seed, left);
   return i < 0 ? std::string() : impl_->servers[i].listed.id;
 }
 
 double Balancer::live_fraction(const std::string& server) const {
-  auto at = impl_->index.find(server);
-  return at == impl_->index.end() ? 0 : impl_->live(impl_->servers[at->second]);
+  auto at = impl_->index_by_id.find(server);
+  return at == impl_->index_by_id.end() ? 0 : impl_->live_fraction(impl_->servers[at->second]);
 }
 
 }  // namespace violetusher
