--- a/examples/embed.cpp
+++ b/examples/embed.cpp
@@ -1,4 +1,4 @@
-// The smallest router around a Balancer: events go in with the time, actions come out.
+// A minimal router around a Balancer: reports events with their time and carries out the actions.
 #include <cstdio>
 #include <violetusher/balancer.hpp>
 
--- a/include/violetusher/recycled_map.hpp
+++ b/include/violetusher/recycled_map.hpp
@@ -1,4 +1,4 @@
-// A table that is warm allocates nothing: what its entries held is left to the next ones.
+// A hash map that reuses the memory of erased entries, so that steady use allocates nothing.
 #pragma once
 
 #include <cstddef>
@@ -10,17 +10,17 @@
 
 namespace violetusher {
 
-/// A table by number whose entries leave their memory to the next ones. kSpare of those that are
-/// over are kept for that, at most.
+/// A hash map by number. Keeps up to kMaxSpareEntries erased entries, with the memory that their
+/// values own, for insertions to come.
 template <typename T>
 class RecycledMap : public std::unordered_map<std::uint64_t, T> {
   using Table = std::unordered_map<std::uint64_t, T>;
 
  public:
-  static constexpr std::size_t kSpare = 128;
+  static constexpr std::size_t kMaxSpareEntries = 128;
 
-  /// The entry of `key`, and whether it is new; a new one may hold what another has left.
-  std::pair<T&, bool> enter(std::uint64_t key) {
+  /// The entry of `key`, and whether it was inserted: then it may hold the value of an erased one.
+  std::pair<T&, bool> find_or_insert(std::uint64_t key) {
     auto at = this->find(key);
     if (at != this->end()) return {at->second, false};
     if (spare_.empty()) return {this->try_emplace(key).first->second, true};
@@ -29,11 +29,11 @@
     spare_.pop_back();
     return {entry, true};
   }
-  /// Ends an entry; the one behind it.
-  auto drop(typename Table::iterator at) {
+  /// Erases an entry; returns the next one.
+  auto erase_and_recycle(typename Table::iterator at) {
     auto next = std::next(at);
     auto node = this->extract(at);
-    if (spare_.size() < kSpare) spare_.push_back(std::move(node));
+    if (spare_.size() < kMaxSpareEntries) spare_.push_back(std::move(node));
     return next;
   }
 
--- a/src/policy/rules.cpp
+++ b/src/policy/rules.cpp
@@ -1,5 +1,10 @@
-// Every decision of violetusher, from top to bottom:
-//   tunables, state, segments, saved seeds, server health, admission, attempts, list.
+// Implements every decision of the Balancer. In this order: constants, state, slot assignment, key
+// spreading, server health, admission control, attempts, host list.
+//
+// Cache servers own slots of a hash interval in proportion to their weight. A request draws
+// pseudo-random slots from a seed derived from its key until it hits a slot whose owner may take
+// it. Each server accepts draws in a fraction of its slots only (its live fraction), which shrinks
+// when the server is slow, overloaded, ejected or in slow start.
 #include <algorithm>
 #include <array>
 #include <cmath>
@@ -14,145 +19,182 @@
 namespace violetusher {
 namespace {
 
-// ---- tunables ----
 constexpr Micros kSecond = 1'000'000;
-// Segments. 2^15 slots, 32 for a unit of weight: 1% of the interval for ten servers, 25% for 250.
+
+// ---- slot assignment ----
 constexpr int kSlotBits = 15;
 constexpr int kSlotCount = 1 << kSlotBits;
+// Ten servers of weight 1 cover 1% of the slots, 250 cover 25%.
 constexpr int kSlotsPerWeightUnit = 32;
-constexpr double kMaxCoverageFraction =
-    0.5;                                  // beyond, every server's slots are halved until they fit
-constexpr int kMaxDrawsPerWalk = 20'000;  // of one walk
-// Saved seeds. One key may load a server with this multiple of a fair share before it is spread.
+// Beyond this fraction the slots of every server are halved until they fit.
+constexpr double kMaxCoverageFraction = 0.5;
+constexpr int kMaxDrawsPerWalk = 20'000;
+
+// ---- key spreading ----
+// Load of a single key, as a multiple of a server's fair share, from which it gets more replicas.
 constexpr double kKeySpreadShareFactor = 0.7;
-// Requests of one key, in windows' worth of own traffic, behind each server it is spread over. With
-// one, a chance pair of a rare key made a second copy, and the fetches of them all jammed origins.
+// Requests within key_count_window() that justify each replica of a key. With 1, two requests that
+// came close together by chance gave a rare key a second replica, and the extra fetches overloaded
+// the origin.
 constexpr double kRequestsPerReplica = 2;
-constexpr double kMaxSpreadErrorFraction =
-    0.02;  // errors over the fleet past which no hot server adds copies
-constexpr int kMaxInFlightLimitSkips =
-    4;  // landings passed over because the server is at its limit
-constexpr double kInFlightLimitFactor = 2.0;  // own attempts out, at most, over the mean server's
-constexpr double kInFlightLimitBase = 3.0;    // and never under this many
-// Nearness: a key is kept in the own zone once a copy there saves more worth than it costs.
-// Worth lost by one more copy, in requests: its miss, and what it adds to a jammed origin.
+// Errors per attempt over the fleet beyond which an overloaded server causes no extra replicas.
+constexpr double kMaxSpreadErrorFraction = 0.02;
+// Servers skipped in one walk because they are at their limit of attempts in flight.
+constexpr int kMaxInFlightLimitSkips = 4;
+// A server's limit of this router's attempts in flight: the base, plus the factor times the mean.
+constexpr double kInFlightLimitFactor = 2.0;
+constexpr double kInFlightLimitBase = 3.0;
+
+// ---- zone affinity ----
+// A key is served from the router's own zone when a replica there saves more worth than it costs.
+// The cost of one more replica, in requests: its cache miss, and its load on a busy origin.
 constexpr double kMissCostInRequests = 2.0;
-// One request tells less of a key than two do.
+// Raises the cost for a key seen once: one request is weaker evidence of popularity than two.
 constexpr double kSeenOnceCostFactor = 1.5;
-constexpr double kMaxZoneAffinityFraction =
-    0.9;  // the part of foreign segments a popular key passes over
-constexpr std::size_t kMaxTrackedKeys = 4096;  // keys counted per generation, also under a scan
+// The fraction of slots in other zones that a popular key skips, at most.
+constexpr double kMaxZoneAffinityFraction = 0.9;
+constexpr std::size_t kMaxTrackedKeys = 4096;  // per generation; bounds memory under a key scan
 constexpr Micros kKeyCountGeneration = 10 * kSecond;
-// Server health. A failure adds its weight; dead at the threshold, doubt halves every
-// kFailureScoreHalfLife.
+
+// ---- server health: outlier detection ----
+// Each failure adds its weight to the server's failure score; at this score it is ejected.
 constexpr double kEjectionFailureScore = 2.0;
-constexpr double kMinBaselineFailureFraction =
-    0.05;  // failures per attempt on a quiet day, at least
-constexpr double kFleetFailureRateGain =
-    0.04;  // weight of one attempt in the fleet's failure rates
 constexpr double kFailureScoreHalfLife = 8.0 * kSecond;
-constexpr double kServerFailureRateGain =
-    0.1;  // weight of one attempt in a server's own failure rates
-constexpr Micros kBaseEjectionTime = kSecond;     // the first time out of service
-constexpr Micros kMaxEjectionTime = 8 * kSecond;  // doubled up to this
-constexpr int kZoneEjectionServers = 3;           // servers of a zone, one after another
+// Failures per attempt that are always considered normal.
+constexpr double kMinBaselineFailureFraction = 0.05;
+// Weights of one attempt in the moving averages of failure rates.
+constexpr double kFleetFailureRateGain = 0.04;
+constexpr double kServerFailureRateGain = 0.1;
+// The ejection time doubles with each consecutive ejection, from the base to the maximum.
+constexpr Micros kBaseEjectionTime = kSecond;
+constexpr Micros kMaxEjectionTime = 8 * kSecond;
+// Distinct servers of a zone, unreachable one after another, that cause the zone's ejection.
+constexpr int kZoneEjectionServers = 3;
+// After an ejection the live fraction rises from the minimum to 1 over this time.
 constexpr Micros kRecoveryRampTime = 3 * kSecond;
 constexpr double kRecoveryRampMinFraction = 0.2;
-constexpr double kMaxTimeoutWeightFactor =
-    1.3;  // of kEjectionFailureScore, the most that one failure weighs
-constexpr double kPanicEjectedFraction =
-    0.7;                                    // more of the reachable servers judged dead: disbelieve
-constexpr double kLatencyRatioGain = 0.25;  // weight of one latency in a server's mean log ratio
+// The maximum weight of one timeout, as a multiple of kEjectionFailureScore.
+constexpr double kMaxTimeoutWeightFactor = 1.3;
+// Panic threshold: ejections are ignored while more than this fraction of servers is ejected.
+constexpr double kPanicEjectedFraction = 0.7;
+
+// ---- server health: latency and load ----
+// Weight of one latency in a server's mean log ratio to the usual latency of the class.
+constexpr double kLatencyRatioGain = 0.25;
 constexpr double kLatencyRatioHalfLife = 8.0 * kSecond;
-constexpr double kSlowLatencyRatio = 1.8;  // latency ratio from which a server counts as slow
-constexpr double kMinLiveFraction =
-    0.06;  // a slow server keeps this part, so that it is still seen
-constexpr double kMinLoadLiveFraction = 0.4;   // a hot one more: each swing of keys costs misses
-constexpr double kOverloadUtilization = 0.85;  // busy cores from which a report makes a server hot
-constexpr double kOverloadUtilizationMargin = 0.05;  // above the mean of the fleet
-constexpr double kRejectionPenaltyFraction = 0.2;  // of the rest, given up for one refusal as full
+constexpr double kSlowLatencyRatio = 1.8;  // a server counts as slow from this ratio
+// Keeps some requests going to a slow server, so that its recovery is noticed.
+constexpr double kMinLiveFraction = 0.06;
+// Higher for an overloaded server, as each shift of keys to other servers costs cache misses.
+constexpr double kMinLoadLiveFraction = 0.4;
+// A server counts as overloaded at this fraction of busy cores, if above the fleet mean by the
+// margin.
+constexpr double kOverloadUtilization = 0.85;
+constexpr double kOverloadUtilizationMargin = 0.05;
+// The fraction of its remaining keys that a server gives up for each rejection as overloaded.
+constexpr double kRejectionPenaltyFraction = 0.2;
 constexpr double kRejectionPenaltyHalfLife = 15.0 * kSecond;
-constexpr double kLoadShedRatePerSecond = 1.2;  // shedding per second and unit of heat, as exponent
-constexpr double kLoadRecoveryRatePerSecond = 0.12;  // return per second, as exponent
-constexpr double kMaxReportIntervalSeconds = 2;      // seconds one report may stand for
-// Cold servers get this multiple of their fair, cold-weighted share at most.
+// Exponential rates of a server's load live fraction: its decrease per unit of overload, and its
+// increase without overload.
+constexpr double kLoadShedRatePerSecond = 1.2;
+constexpr double kLoadRecoveryRatePerSecond = 0.12;
+constexpr double kMaxReportIntervalSeconds = 2;  // the time that one load report may stand for
+
+// ---- slow start ----
+// A server in slow start gets at most this multiple of its fair share at reduced capacity.
 constexpr double kSlowStartBudgetFactor = 1.3;
-// What a cold server's budget saves up, as part of overload_window: with all of it, a hot key that
-// came after a quiet spell spent twice the budget at once.
+// Token capacity of that budget, as a fraction of overload_window. With 1, a hot key that arrived
+// after an idle period spent twice the budget at once.
 constexpr double kSlowStartBurstFraction = 0.4;
-// And this part of what would push one over had warm servers been at the edge of their capacity.
+// It also gets at most this fraction of the load that would overload it if warm servers were at the
+// limit of their capacity.
 constexpr double kSlowStartOverloadFraction = 0.5;
-constexpr double kWarmServerRateGain = 0.02;  // of one refresh in what warm servers bear, about 5 s
-// Attempts. Tokens per request for further attempts and for second copies, and their caps.
+// Weight of one refresh in the moving average of the warm servers' rate: about 5 s.
+constexpr double kWarmServerRateGain = 0.02;
+
+// ---- attempts: retry and hedge budgets, timeouts ----
 constexpr double kRetryTokensPerRequest = 0.03;
 constexpr double kMaxRetryTokens = 10;
 constexpr double kHedgeTokensPerRequest = 0.03;
 constexpr double kMaxHedgeTokens = 3;
-constexpr double kTimeoutLatencyQuantile = 0.95;  // latency quantile that patience is built on
+// The attempt timeout is this latency quantile times the factor.
+constexpr double kTimeoutLatencyQuantile = 0.95;
 constexpr double kAttemptTimeoutFactor = 2.0;
-constexpr double kErrorAttributionScore =
-    0.9;  // doubt from which errors are laid at the server's door
-constexpr double kMinOutlierFailureFraction =
-    0.25;  // failures per attempt from which they may be the server's own
-constexpr double kFailureScoreReliefPerSuccess =
-    0.5;  // of doubt, by one success of a server that stands out
-constexpr double kMaxBenignDisconnectFraction =
-    0.3;  // broken connections per attempt that are no sign of load
-constexpr double kMaxRetriableErrorFraction =
-    0.1;  // per attempt at the better half; past it no retries
-// Admission: the shed level moves once per step by the part of answers that came late or never.
+// Errors are attributed to the server itself from this failure score on.
+constexpr double kErrorAttributionScore = 0.9;
+// A server may only count as an outlier above this number of failures per attempt.
+constexpr double kMinOutlierFailureFraction = 0.25;
+// How much one success lowers the failure score of an outlier; others are reset to 0.
+constexpr double kFailureScoreReliefPerSuccess = 0.5;
+// Broken connections per attempt, over the fleet, that are not a sign of overload.
+constexpr double kMaxBenignDisconnectFraction = 0.3;
+// Errors per attempt at the healthier half of the servers beyond which errors are not retried.
+constexpr double kMaxRetriableErrorFraction = 0.1;
+
+// ---- admission control ----
+// The shed fraction is updated at this interval, by the fraction of bad results (late or none).
 constexpr Micros kAdmissionInterval = kSecond / 4;
-constexpr double kAdmissionCountDecayFactor = 0.75;  // of the counts, per step
-// Answers presumed good. A door nearly shut sees few ends: by the one in ten that is late on a good
-// day it stayed shut for a quarter of a minute with the servers idle.
+constexpr double kAdmissionCountDecayFactor = 0.75;  // of the result counts, per interval
+// Good results assumed in addition to those counted. While nearly everything is shed few results
+// come in, and the one in ten that is normally late kept it so for 15 s with the servers idle.
 constexpr double kPriorGoodResults = 6;
-constexpr double kMaxBadResultFraction = 0.2;
-// Per step, were all bad. Misses are cut fast, or the origin's queue, longer than clients wait,
-// never drains; hits slowly, as swings leave servers idle.
+constexpr double kMaxBadResultFraction = 0.2;  // the admitted fraction grows below this
+// Decrease of the admitted fraction per interval if all results are bad. Fast for likely misses, as
+// the origin's queue otherwise stays longer than the clients' timeouts; slow for likely hits, as
+// oscillation leaves servers idle.
 constexpr double kAdmissionDecreaseFraction = 0.3;
 constexpr double kCachedAdmissionDecreaseFraction = 0.1;
-constexpr int kLikelyCachedRequests = 3;  // a key seen this often lately is likely held
-constexpr double kAdmissionIncreaseFraction =
-    0.25;  // of what is admitted, per step, when nothing ends badly
-constexpr double kAdmissionIncreaseStep =
-    0.05;  // and this much: by parts alone a door nearly shut stays so
+// A key with this many recent requests is likely cached.
+constexpr int kLikelyCachedRequests = 3;
+// Increase of the admitted fraction per interval without bad results: multiplicative, and additive
+// because a very small fraction would hardly grow otherwise.
+constexpr double kAdmissionIncreaseFraction = 0.25;
+constexpr double kAdmissionIncreaseStep = 0.05;
 constexpr double kMinAdmittedFraction = 0.03;
-constexpr double kMinShedFactor = 0.4;  // the most and least worthy are refused at these multiples
+// Bounds for the shed probability of requests of the highest and lowest worth, as multiples of the
+// shed fraction.
+constexpr double kMinShedFactor = 0.4;
 constexpr double kMaxShedFactor = 1.4;
-// List: how long after the start the first call may come, as part of list_refresh_interval, so that
-// routers started together do not call together; and the mean pause after failed calls. It does not
-// double: 6 s after discovery is back all that it has counts as told, and a second try may have to
-// fit in.
+
+// ---- host list ----
+// The first list request is delayed at random by up to this fraction of list_refresh_interval, so
+// that routers started together spread their requests.
 constexpr double kListRequestJitterFraction = 0.4;
+// Mean delay after a failed list request. Not exponential: the router counts as notified of the
+// whole list 6 s after discovery recovers, and a second try may have to fit into that time.
 constexpr double kListRetryBackoff = kSecond;
 
-constexpr double kRateWindowSeconds = 5;           // seconds over which rates fade
-constexpr Micros kRefreshInterval = kSecond / 10;  // fleet-wide sums are renewed this often
+// ---- averages ----
+constexpr double kRateWindowSeconds = 5;           // decay time of request and attempt rates
+constexpr Micros kRefreshInterval = kSecond / 10;  // of the fleet-wide sums
 
-std::uint64_t mix(std::uint64_t x) {  // splitmix64 finalizer
+/// The finalizer of splitmix64.
+std::uint64_t mix(std::uint64_t x) {
   x += 0x9e3779b97f4a7c15ULL;
   x = (x ^ (x >> 30)) * 0xbf58476d1ce4e5b9ULL;
   x = (x ^ (x >> 27)) * 0x94d049bb133111ebULL;
   return x ^ (x >> 31);
 }
 
-std::uint64_t hash_string(std::string_view name) {  // FNV-1a, then mixed
-  std::uint64_t h = 0xcbf29ce484222325ULL;
-  for (unsigned char c : name) h = (h ^ c) * 0x100000001b3ULL;
-  return mix(h);
+/// FNV-1a, mixed.
+std::uint64_t hash_string(std::string_view text) {
+  std::uint64_t hash = 0xcbf29ce484222325ULL;
+  for (unsigned char c : text) hash = (hash ^ c) * 0x100000001b3ULL;
+  return mix(hash);
 }
 
-std::uint64_t next_draw(std::uint64_t seed) {  // Knuth's MMIX generator
+/// Knuth's MMIX linear congruential generator.
+std::uint64_t next_draw(std::uint64_t seed) {
   return seed * 6364136223846793005ULL + 1442695040888963407ULL;
 }
 
 int slot_of(std::uint64_t draw) { return static_cast<int>(draw >> (64 - kSlotBits)); }
-/// Where within its slot a draw lands, 0 to 1.
+/// The position of a draw within its slot, 0 to 1.
 double position_in_slot(std::uint64_t draw) {
   return static_cast<double>((draw >> 17) & 0xffffffffULL) / 4294967296.0;
 }
 
-/// One attempt more in a rate of failures.
+/// Adds one attempt to the moving average of a failure rate.
 void update_rate(double& rate, bool failed, double gain = kFleetFailureRateGain) {
   rate += gain * (failed - rate);
 }
@@ -168,26 +210,27 @@
 struct Balancer::Impl {
   // ---- state ----
   struct Zone {
-    int unreachable_in_row = 0,
-        last_server = -1;      // servers in a row that could not be reached; the last one
-    Micros ejected_until = 0;  // taken for cut off
+    // Distinct servers found unreachable without a success in between, and the last of them.
+    int unreachable_in_row = 0, last_server = -1;
+    Micros ejected_until = 0;
   };
   struct ServerState {
-    Server listed;
-    bool present = false;                      // on the current list and ready or draining
-    int in_flight = 0;                         // own attempts out
-    int references = 0;                        // attempts of open requests that name it, out or not
-    std::array<double, 3> failure_rates = {};  // per attempt, lately: see Failing
-    double failure_score = 0;                  // weight of recent failures
+    Server listed;         // the entry of the host list
+    bool present = false;  // on the current list and not removed
+    int in_flight = 0;     // this router's attempts
+    int references = 0;    // attempts of open requests at it, pending or not
+    // Moving averages of failures per attempt, by FailureKind.
+    std::array<double, 3> failure_rates = {};
+    double failure_score = 0;
     Micros failure_score_at = 0;
-    int consecutive_ejections = 0;  // times judged dead without a success between
+    int consecutive_ejections = 0;  // without a recovery in between
     Micros ejected_until = 0;
-    Micros recovery_start = 0;     // start of the ramp after a dead spell; 0 = none
-    double log_latency_ratio = 0;  // mean log of latency over the class's usual
-    double latency_samples = 0;    // evidence behind it
+    Micros recovery_start = 0;     // of the ramp after an ejection; 0 = none
+    double log_latency_ratio = 0;  // mean log ratio to the usual latency of the class
+    double latency_samples = 0;    // decaying weight of the samples behind it
     Micros latency_at = 0;
     double load_live_fraction = 1;  // live fraction by reported load
-    double rejection_penalty = 0;   // part given up for refusals as full
+    double rejection_penalty = 0;   // fraction given up for rejections as overloaded
     Micros rejection_penalty_at = 0;
     Micros report_at = 0;
     double slow_start_tokens = 0;
@@ -195,31 +238,32 @@
     Zone* zone = nullptr;
   };
   enum FailureKind { kErrors, kResets, kTimeouts };
+  /// Whether the server may have executed an attempt's request.
   enum class Execution { Pending, MayHaveRun, NeverRan };
   struct Attempt {
-    int server;
+    int server;  // index in `servers`
     Micros sent;
     Execution execution = Execution::Pending;
   };
   struct ClassState {
     ClassSettings settings;
-    double mean_log_latency = 0;  // usual log latency
-    double latency_quantile = 0;  // latency at kTimeoutLatencyQuantile
+    double mean_log_latency = 0;
+    double latency_quantile = 0;  // at kTimeoutLatencyQuantile
     double samples = 0;
   };
   struct OpenRequest {
     Request request;
-    std::shared_ptr<ClassState>
-        class_state;             // as it was when the request came: settings may change
-    int recent_requests = 0;     // times its key came lately
-    bool cached = false;         // its key is likely held by a server
-    std::uint64_t key_hash = 0;  // hash of its key
+    // The class as it was on arrival: a settings update does not affect open requests.
+    std::shared_ptr<ClassState> class_state;
+    int recent_requests = 0;     // for its key, including this one
+    bool cached = false;         // a server likely holds its key
+    std::uint64_t key_hash = 0;  // the walk of a key starts here
     std::uint64_t seed = 0;
     Micros arrived_at = 0;
     Micros deadline = 0;
-    bool closed = false;
-    bool reached_server = false;  // an attempt has come to a server
-    bool cache_missed = false;    // aside mode: a cache held nothing
+    bool closed = false;          // finally answered, or nothing more is expected
+    bool reached_server = false;  // by one of the attempts
+    bool cache_missed = false;    // cache-aside mode: a cache server reported a miss
     std::vector<Attempt> attempts;
   };
 
@@ -227,63 +271,65 @@
   std::uint64_t rng_state;
   Micros now = 0;
   std::vector<ServerState> servers;
-  std::map<std::string, Zone> zones;       // by name; all that the settings don't name share one
-  std::map<std::string, int> index_by_id;  // by id, so that walks over it are in id order
-  std::vector<int> free_indices;           // places in `servers` of those that have left
+  std::map<std::string, Zone> zones;       // by name; those not in the settings share one
+  std::map<std::string, int> index_by_id;  // ordered, so that iteration is deterministic
+  std::vector<int> free_indices;           // entries of `servers` free for reuse
   std::vector<int> slots = std::vector<int>(kSlotCount, -1);
   RecycledMap<OpenRequest> open_requests;
+  /// The progress of a key's walk over its replicas.
   struct SavedSeed {
-    std::uint64_t seed = 0;  // of the last landing
-    int landings = 0;        // landings since the walk began at the name
-    int first_server = -1;   // server of the first of them
-    double count = 0;        // own requests lately, fading with own traffic
-    double counted_at = 0;   // value of `sent` then
+    std::uint64_t seed = 0;  // of the last selection
+    int selections = 0;      // selections since the walk started at the key's hash
+    int first_server = -1;   // the server of the first of them
+    double count = 0;        // requests for the key, decaying with this router's requests
+    double counted_at = 0;   // the value of `requests_sent` at the last update of `count`
   };
-  RecycledMap<SavedSeed> saved_seeds;        // by name hash
-  double requests_sent = 0, last_sweep = 0;  // own requests; and when stale seeds were dropped
+  RecycledMap<SavedSeed> saved_seeds;        // by key hash
+  double requests_sent = 0, last_sweep = 0;  // last_sweep: its value when stale seeds were erased
   struct KeyCount {
     int count = 0;
-    bool cached = false;  // its last read was answered, so some server holds it
+    bool cached = false;  // the last read was answered, so some server holds the key
   };
-  std::array<std::unordered_map<std::uint64_t, KeyCount>, 2> key_counts;  // this generation, last
+  // The current generation and the previous one.
+  std::array<std::unordered_map<std::uint64_t, KeyCount>, 2> key_counts;
   Micros generation_start = 0;
   std::vector<std::shared_ptr<ClassState>> classes;
-  std::map<std::string, double> tenant_rates;  // by name: new settings may list them otherwise
-  double attempt_rate_sum = 0;                 // decayed count of attempts sent, in mean requests
+  std::map<std::string, double> tenant_rates;  // by name, as a settings update may reorder them
+  double attempt_rate_sum = 0;                 // decaying sum of the attempts' relative costs
   Micros rates_decayed_at = 0;
   Micros started_at = 0;
   double mean_work = 0;
-  double mean_log_latency = 0;  // usual log latency over all classes
+  double mean_log_latency = 0;  // over all classes
   double mean_queue = 0, mean_utilization = 0;
   int total_in_flight = 0;
-  // Failures per attempt over the whole fleet, lately.
+  // Moving averages per attempt over the whole fleet.
   double error_rate = 0, unreachable_rate = 0, overloaded_rate = 0, disconnect_rate = 0;
-  std::array<double, 3> baseline_failure_rates = {};  // see renew_usual()
-  std::array<double, 3> fleet_failure_rates = {};     // failures per attempt at any server
+  // By FailureKind: the mean of the healthier half of the servers, and of all attempts.
+  std::array<double, 3> baseline_failure_rates = {};
+  std::array<double, 3> fleet_failure_rates = {};
   double retry_tokens = kMaxRetryTokens / 2, hedge_tokens = kMaxHedgeTokens / 2;
   struct AdmissionState {
     double shed_fraction = 0;
-    double good_results = 0, bad_results = 0;  // ends of what it let in
+    double good_results = 0, bad_results = 0;  // of admitted requests, decaying
   };
-  std::array<AdmissionState, 2> admission;  // for keys likely to be fetched, and for those held
-  double mean_worth = 0;  // usual worth of a request, or per work where worth goes by request
+  std::array<AdmissionState, 2> admission;  // for likely cache misses, and for likely hits
+  double mean_worth = 0;                    // per request, or per unit of cost: see should_shed()
   Micros admission_updated_at = 0;
-  // renewed by refresh()
+  // Updated by refresh().
   Micros refreshed_at = -1;
   double live_fraction_sum = 1, live_weight_sum = 1, warm_weight_sum = 1, zone_affinity = 0;
-  double warm_server_rate =
-      0;  // requests per second and weight that this router's warm servers bear
+  double warm_server_rate = 0;  // this router's requests per second and weight at warm servers
   bool panic_mode = false;
-  // list
+  // Host list.
   bool watching = false, watch_pending = false;
   std::uint64_t list_timer_token = 0;
   std::uint64_t draws = 0;
-  std::vector<double> rate_scratch;  // of renew_usual(), for its memory alone
+  std::vector<double> rate_scratch;  // reused memory of refresh_baseline_failure_rates()
   Actions actions;
 
-  /// What is left of 1 that halves every `half`.
-  double decay(Micros since, double half) const {
-    return std::exp2(-static_cast<double>(now - since) / half);
+  /// The factor of exponential decay since a time.
+  double decay(Micros since, double half_life) const {
+    return std::exp2(-static_cast<double>(now - since) / half_life);
   }
 
   double random() {
@@ -291,12 +337,14 @@
     return static_cast<double>(rng_state >> 11) / 9007199254740992.0;
   }
 
-  // ---- segments ----
+  // ---- slot assignment ----
   bool is_origin(const ServerState& server) const {
     return config.cache_aside && !config.origin_kind.empty() &&
            server.listed.kind == config.origin_kind;
   }
 
+  /// Assigns each server slots by draws from the hash of its id, so that a change of the list moves
+  /// only the keys of the servers that changed.
   void assign_slots() {
     std::fill(slots.begin(), slots.end(), -1);
     double unit = kSlotsPerWeightUnit, total = 0;
@@ -304,7 +352,7 @@
       if (server.present && !is_origin(server))
         total += std::max(server.listed.weight, 0.0) * kSlotsPerWeightUnit;
     while (total > kMaxCoverageFraction * kSlotCount) unit /= 2, total /= 2;
-    for (const auto& [id, i] : index_by_id) {  // lower ids first: ties go to them
+    for (const auto& [id, i] : index_by_id) {  // on a conflict the lower id keeps the slot
       const ServerState& server = servers[i];
       if (!server.present || is_origin(server)) continue;
       int wanted_slots = std::max(1, static_cast<int>(std::lround(server.listed.weight * unit)));
@@ -333,8 +381,8 @@
     return config.slow_start_min_fraction + (1 - config.slow_start_min_fraction) * age;
   }
 
-  /// The part of its slots that a server is live over. Death, slow start, a slow machine and
-  /// overload all act here, so each remaps only the keys of the part that is given up.
+  /// The fraction of each of its slots in which a server accepts draws. Ejection, slow start, high
+  /// latency and overload all act here, so each moves only the keys of the fraction given up.
   double live_fraction(const ServerState& server) const {
     if (!usable(server)) return 0;
     double fraction = slow_start_fraction(server) *
@@ -355,6 +403,7 @@
     return now < std::max(server.ejected_until, server.zone->ejected_until);
   }
 
+  /// Updates the fleet-wide sums every kRefreshInterval.
   void refresh() {
     if (refreshed_at >= 0 && now - refreshed_at < kRefreshInterval) return;
     refreshed_at = now;
@@ -366,8 +415,9 @@
       ready += 1, local_ready += local;
       if (is_ejected(server)) ejected += 1, local_ejected += local;
     }
-    // A cut between zones looks like many deaths and is believed as long as the own zone answers;
-    // when the servers next door look dead as well, the fault is likely here or in the judgement.
+    // In a network partition between zones many ejections are justified, as long as the servers of
+    // the router's own zone answer. If most of these are ejected as well, the fault is more likely
+    // in this router or in its detection.
     panic_mode = local_ready > 0 ? local_ejected > kPanicEjectedFraction * local_ready &&
                                        ejected > kPanicEjectedFraction * ready
                                  : ejected > kPanicEjectedFraction * ready;
@@ -386,53 +436,56 @@
       warm_server_rate +=
           (warm_server_rate <= 0 ? 1 : kWarmServerRateGain) * (fair_rate - warm_server_rate);
     }
-    // Servers of the own zone that shed load loosen the pull to it; those out of service only as
-    // far as fewer are elsewhere: where a few of each zone are out, crossing moves the load about.
+    // Affinity falls with the live fraction of the own zone. With low traffic, ejections count only
+    // as far as the own zone has more of them than others: if a few servers of each zone are
+    // ejected, cross-zone requests merely move load around.
     double local_live_fraction = local_servers > 0 ? local_live / local_servers : 0;
-    // Where servers are few and met often, those next door feel each one that is out.
+    // With few servers and frequent requests, each ejection raises the load of the rest of the
+    // zone.
     if (ready > ejected && low_traffic())
       local_live_fraction = std::min(1.0, local_live_fraction * ready / (ready - ejected));
     zone_affinity = kMaxZoneAffinityFraction * local_live_fraction * local_live_fraction;
   }
 
-  // ---- saved seeds ----
-  /// Own requests over which a key is counted: kRequestsPerReplica times what makes
-  /// kKeySpreadShareFactor of a fair share.
+  // ---- key spreading ----
+  /// The number of this router's requests over which a key's requests are counted: a key with
+  /// kKeySpreadShareFactor of a fair share gets kRequestsPerReplica requests within it.
   double key_count_window() const {
     return kRequestsPerReplica * std::max(1.0, live_fraction_sum / kKeySpreadShareFactor);
   }
 
-  /// The seed the request's walk starts from. Repeats draw onward from the saved seed until the key
-  /// has been to as many servers as its share of the traffic needs; then its window ends and the
-  /// walk begins at the name again. A key that one server can bear stays at its first landing, and
-  /// a hot key's known spread outlives each wipe.
+  /// The seed from which the request's walk starts. Repeated requests for a key continue from the
+  /// saved seed until the key has as many replicas as its share of the traffic needs; then the walk
+  /// starts at the key's hash again. A key that one server can serve stays at its first server, and
+  /// the count of a hot key survives each restart of its walk.
   SavedSeed& seed_for(std::uint64_t key_hash) {
     requests_sent += 1;
     double window = key_count_window();
-    auto fade = [&](const SavedSeed& saved) {
+    auto decayed_count = [&](const SavedSeed& saved) {
       return saved.count * std::exp(-(requests_sent - saved.counted_at) / window);
     };
     if (requests_sent - last_sweep > window) {
       for (auto it = saved_seeds.begin(); it != saved_seeds.end();)
-        it = fade(it->second) < 0.5 ? saved_seeds.drop(it) : std::next(it);
+        it = decayed_count(it->second) < 0.5 ? saved_seeds.erase_and_recycle(it) : std::next(it);
       last_sweep = requests_sent;
     }
-    auto [saved, inserted] = saved_seeds.enter(key_hash);
+    auto [saved, inserted] = saved_seeds.find_or_insert(key_hash);
     if (inserted) saved = SavedSeed();
-    saved.count = fade(saved) + 1;
+    saved.count = decayed_count(saved) + 1;
     saved.counted_at = requests_sent;
-    // Some servers are hot by several middling keys, none of which would be spread for itself. Not
-    // while the origin fails: each copy asks it.
+    // A server may be overloaded by several moderately popular keys, none of which would be spread
+    // on its own: its keys get more replicas. Not while the origin fails, as each replica is one
+    // more fetch.
     bool no_extra_replicas = saved.first_server < 0 || saved.count < kRequestsPerReplica ||
                              error_rate > kMaxSpreadErrorFraction;
     double per_server = kRequestsPerReplica *
                         (no_extra_replicas ? 1 : servers[saved.first_server].load_live_fraction);
-    if (saved.landings == 0 || saved.landings >= saved.count / per_server)
-      saved.seed = key_hash, saved.landings = 0;
+    if (saved.selections == 0 || saved.selections >= saved.count / per_server)
+      saved.seed = key_hash, saved.selections = 0;
     return saved;
   }
 
-  /// Counts the key over the last one to two generations.
+  /// Counts the key's requests over the last one to two generations.
   void count_key(OpenRequest& open) {
     if (now - generation_start > kKeyCountGeneration || key_counts[0].size() >= kMaxTrackedKeys) {
       key_counts[1] = std::move(key_counts[0]);
@@ -447,29 +500,31 @@
     open.cached = it->second.cached && !open.request.write;
   }
 
-  /// How an admitted request ended. One that no server has begun tells nothing of who holds its
-  /// key: the keys of a burst were refused by the door of fetches, time and again, and never came
-  /// to be held again while servers stood idle.
+  /// Records how an admitted request ended. A request that no server has executed is no evidence
+  /// about the cache: otherwise the keys of a burst counted as misses, were shed as such time and
+  /// again, and were not cached again although servers were idle.
   void record_result(const OpenRequest& open, bool answered, bool in_time) {
     AdmissionState& state = admission[open.cached];
-    // One in ten comes late on a good day, and by the chance of the few ends at its doors a router
-    // that meets servers seldom refused some of what comes all day. Nor does one that never came to
-    // a server tell it of load: a zone that was cut off shut its doors to all others.
-    bool load = !answered && (open.reached_server || any_pending(open));
-    double bad = in_time ? 0 : load ? 1 : std::min(1.0, kSecond / request_interval());
+    // Normally one answer in ten is late. A router with low traffic sees so few results that by
+    // chance it would shed some requests all day, so late answers weigh less there. A request that
+    // never reached a server is no sign of load either: after a zone was cut off, requests to all
+    // other zones were shed.
+    bool load_related = !answered && (open.reached_server || any_pending(open));
+    double bad = in_time ? 0 : load_related ? 1 : std::min(1.0, kSecond / request_interval());
     state.good_results += 1 - bad, state.bad_results += bad;
     auto it = key_counts[0].find(open.key_hash);
     if (it != key_counts[0].end() && (answered || may_have_run(open)))
       it->second.cached = answered && !open.request.write;
   }
 
-  /// Whether a copy of the key in the own zone would pay. Where it would by one request of each
-  /// router, no second one is waited for: each sees a key so seldom that some held it for popular
-  /// and others did not, it had a home far off and one in each zone, and most requests crossed.
-  bool zone_replica_pays(int seen) const {
+  /// Whether a replica of the key in the router's own zone pays off. If one request at each router
+  /// of the zone is enough for that, the router does not wait for a second one: a router sees a
+  /// rare key so seldom that some would consider it popular and others not, which left the key with
+  /// replicas in each zone and most of its requests still crossing zones.
+  bool zone_replica_pays(int recent_requests) const {
     double peers = std::max(1.0, config.routers / std::max<double>(1, config.zones.size()));
-    return config.cross_zone_charge * seen * peers >
-           (seen >= 2 ? 1 : kSeenOnceCostFactor) * kMissCostInRequests;
+    return config.cross_zone_charge * recent_requests * peers >
+           (recent_requests >= 2 ? 1 : kSeenOnceCostFactor) * kMissCostInRequests;
   }
 
   bool at_in_flight_limit(const ServerState& server) const {
@@ -478,11 +533,11 @@
            kInFlightLimitBase + kInFlightLimitFactor * mean * server.listed.weight;
   }
 
-  double slow_start_rate(
-      const ServerState& server) const {  // requests per second this router may send
-    // Over the nominal sizes: were it over the live ones, servers that shed load would push it to
-    // the cold. And never more than warm servers were seen to bear: after a mass replacement the
-    // fair share of the few that are left is more than they can do.
+  /// Requests per second that this router may send to a server in slow start.
+  double slow_start_rate(const ServerState& server) const {
+    // The fair share is by listed weight: by live weight, servers that shed load would push it to
+    // those in slow start. It is limited by what warm servers were seen to handle, as after a mass
+    // replacement the fair share of the few servers left exceeds their capacity.
     double fair_rate = attempts_per_second() / std::max(1.0, warm_weight_sum);
     double max_rate =
         warm_server_rate > 0
@@ -492,9 +547,10 @@
     return slow_start_fraction(server) * server.listed.weight * max_rate;
   }
 
-  /// A cold server's budget: tokens in units of a mean request. Every router keeps its own part, so
-  /// that all together stay within the rule without agreeing. Tokens start at random under one, or
-  /// many routers that each may send one request at once would tip a server together.
+  /// Whether the budget of a server in slow start allows a request. Tokens are in units of the mean
+  /// request. Each router keeps its own share of the budget, so that all routers together stay
+  /// within the overload limit without coordination. Tokens start at a random value below 1, as
+  /// many routers that each may send one request at once would overload the server together.
   bool slow_start_allows(ServerState& server, double cost) {
     if (!in_slow_start(server)) return true;
     double rate = slow_start_rate(server);
@@ -508,13 +564,13 @@
   }
 
   struct Selection {
-    int server = -1;
+    int server = -1;  // index in `servers`; -1 = none
     std::uint64_t seed = 0;
   };
 
-  /// Draws onward from `seed`, `left` times at most, to the next live segment; -1 without one.
-  int next_live_server(std::uint64_t& seed, int& left) const {
-    while (left-- > 0) {
+  /// Draws from `seed`, at most `draws_left` times, until a server accepts; -1 if none does.
+  int next_live_server(std::uint64_t& seed, int& draws_left) const {
+    while (draws_left-- > 0) {
       seed = next_draw(seed);
       int i = slots[slot_of(seed)];
       if (i >= 0 && position_in_slot(seed) < live_fraction(servers[i])) return i;
@@ -522,14 +578,14 @@
     return -1;
   }
 
-  /// Draws from `seed` to the next live segment whose server may take the request.
+  /// Draws from `seed` to the next accepting server to which the request may be sent.
   Selection walk(std::uint64_t seed, const OpenRequest& open, bool prefer_local) {
     Selection fallback;
     int skipped = 0;
     double cost = cost_of(open);
-    for (int left = kMaxDrawsPerWalk, before = left;; before = left) {
-      int i = next_live_server(seed, left);
-      draws += static_cast<std::uint64_t>(before - std::max(left, 0));
+    for (int draws_left = kMaxDrawsPerWalk, before = draws_left;; before = draws_left) {
+      int i = next_live_server(seed, draws_left);
+      draws += static_cast<std::uint64_t>(before - std::max(draws_left, 0));
       if (i < 0) return fallback;
       ServerState& server = servers[i];
       if (!may_send(open, i) || tried(open, i)) continue;
@@ -546,9 +602,9 @@
     }
   }
 
-  /// Where the draws have run out: of the servers that may take the request, the one that ranks
-  /// first for the key. Few servers, or slow ones, cover so little of the interval that walks miss
-  /// them: one alone that answered 30 times slower than before had most of its keys refused.
+  /// Rendezvous hashing over the servers to which the request may be sent, for walks that ran out
+  /// of draws. A few servers, or slow ones, cover so few of the slots that walks miss them: a
+  /// single server that answered 30 times slower than before had most of its keys refused.
   Selection rendezvous_fallback(const OpenRequest& open) {
     Selection best;
     std::uint64_t highest_rank = 0;
@@ -563,6 +619,8 @@
   }
 
   // ---- server health ----
+  /// The live fraction by latency: inverse to the ratio of a slow server's latency to the usual
+  /// one.
   double latency_live_fraction(const ServerState& server) const {
     if (server.latency_samples < 2) return 1;
     double remaining = decay(server.latency_at, kLatencyRatioHalfLife);
@@ -570,6 +628,7 @@
     return ratio > kSlowLatencyRatio ? kSlowLatencyRatio / ratio : 1;
   }
 
+  /// Updates the latency statistics of the class, if the attempt succeeded, and of the server.
   void record_latency(ServerState& server, ClassState& class_state, Micros latency, bool ok) {
     double value = std::max<double>(1, static_cast<double>(latency));
     double log_value = std::log(value);
@@ -593,6 +652,7 @@
     server.latency_at = now;
   }
 
+  /// Lowers the server's failure rates and score, and ends its recovery once the ramp is over.
   void record_success(ServerState& server) {
     bool outlier = false;
     for (FailureKind kind : {kErrors, kResets, kTimeouts}) {
@@ -602,14 +662,16 @@
     }
     if (server.recovery_start > 0 && now - server.recovery_start > kRecoveryRampTime)
       server.recovery_start = 0, server.consecutive_ejections = 0;
-    // One that answers some requests and lets the others hang would never be left out otherwise.
+    // Otherwise a server that answers some requests and lets others time out is never ejected.
     server.failure_score =
         outlier ? std::max(0.0, server.failure_score - kFailureScoreReliefPerSuccess) : 0;
   }
 
-  /// A failure is evidence against the server only as far as it is unusual: when a stopped origin
-  /// makes every server err, or overload makes all late, one more tells next to nothing (the
-  /// log-likelihood ratio of dead against alive, in units of a failure on a quiet day).
+  /// Adds a failure to the server's score and ejects the server at kEjectionFailureScore. A failure
+  /// counts only as far as it is unusual: when a stopped origin causes errors at every server, or
+  /// overload delays all of them, one more failure is hardly evidence against its server. The
+  /// weight is the log-likelihood ratio of a failed against a healthy server, in units of a failure
+  /// at the minimum baseline.
   void record_failure(ServerState& server, double weight, double baseline) {
     weight *= std::log(std::max(baseline, kMinBaselineFailureFraction)) /
               std::log(kMinBaselineFailureFraction);
@@ -617,50 +679,52 @@
     server.failure_score += weight;
     server.failure_score_at = now;
     if (server.failure_score < kEjectionFailureScore || now < server.ejected_until) return;
-    // In times of meeting, or the spell would be over before the next request came.
+    // In multiples of the request interval: the ejection would otherwise end before the next
+    // request to the server.
     auto interval = static_cast<Micros>(std::min(request_interval(), 8.0 * kSecond));
     Micros ejection_time = std::min(std::max(kMaxEjectionTime, 4 * interval),
                                     std::max(kBaseEjectionTime, 2 * interval)
                                         << std::min(server.consecutive_ejections, 5));
     server.ejected_until =
         now + static_cast<Micros>(static_cast<double>(ejection_time) * (0.75 + 0.5 * random()));
-    server.recovery_start = server.ejected_until;  // gradual from there
+    server.recovery_start = server.ejected_until;
     server.consecutive_ejections = std::min(server.consecutive_ejections + 1, 8);
-    server.failure_score = kEjectionFailureScore - 1;  // a trial's first failure is enough
+    server.failure_score =
+        kEjectionFailureScore - 1;  // one failure in the recovery ejects it again
     refreshed_at = -1;
   }
 
-  /// A failure that tells of the server. What is usual is told by the better half of the servers:
-  /// an origin that fails, a path that spoils answers and overload show there too, and then one
-  /// server's failures tell next to nothing. By the mean of all, servers that failed every request
-  /// within milliseconds passed for usual as soon as they were many, kept their keys and drew those
-  /// of the others.
+  /// Records a failure that may be the server's own. The baseline is the healthier half of the
+  /// servers: a failing origin, a network path that corrupts answers and overload show there too,
+  /// and then one server's failures are hardly evidence. By the mean of all servers, those that
+  /// failed every request within milliseconds counted as normal once there were many of them, kept
+  /// their keys and attracted those of others.
   void record_server_failure(ServerState& server, FailureKind kind, double weight) {
     update_rate(server.failure_rates[kind], true, kServerFailureRateGain);
     update_rate(fleet_failure_rates[kind], true);
-    // Of servers that are met seldom most have not failed yet, whatever the fleet's state is: there
-    // the better half always looks well.
+    // With low traffic most servers have not failed yet, whatever the state of the fleet, so the
+    // healthier half always looks healthy; half the mean of all attempts is used if it is higher.
     record_failure(
         server, weight,
         std::max(baseline_failure_rates[kind], low_traffic() ? fleet_failure_rates[kind] / 2 : 0));
   }
 
-  /// What one stall weighs where own requests come to a server so far apart that the second one
-  /// comes too late to be surer: a hundred routers never found out servers that hang. It may hurt
-  /// where much stalls by chance.
+  /// The weight of one timeout. It rises with the request interval: with low traffic the second
+  /// timeout at a server comes too late to confirm the first, and a hundred routers never detected
+  /// servers that hung. It may eject healthy servers where many requests time out by chance.
   double timeout_weight() const {
     return std::clamp(request_interval() / kSecond, 1.0,
                       kEjectionFailureScore * kMaxTimeoutWeightFactor);
   }
-  /// Time between two own requests to one server.
+  /// The mean time between two requests of this router to one server.
   double request_interval() const {
     return kSecond * live_fraction_sum / std::max(0.1, attempts_per_second());
   }
   bool low_traffic() const { return request_interval() > kSecond; }
 
-  /// Whether a zone can be reached at all is told by its servers together: each of them is met too
-  /// seldom to be found out while the zone is cut off, and requests waited for dials in vain. The
-  /// first attempt after the spell ends or renews it.
+  /// Ejects a whole zone when several of its servers in a row are unreachable. With low traffic no
+  /// single server of an unreachable zone gets enough requests to be ejected, and requests kept
+  /// waiting for connections to it. The first attempt after the ejection ends or renews it.
   void record_reachability(int index, bool reached) {
     Zone& zone = *servers[index].zone;
     if (reached) zone = Zone();
@@ -672,13 +736,13 @@
     refreshed_at = -1;
   }
 
-  /// The server fails in this way far more often than the better half.
+  /// Whether the server fails in this way far more often than the healthier half of the servers.
   bool is_outlier(const ServerState& server, FailureKind kind) const {
     return server.failure_rates[kind] >
            std::max(kMinOutlierFailureFraction, 3 * baseline_failure_rates[kind]);
   }
 
-  /// The mean rate of the better half of the servers, for each way to fail.
+  /// Sets each baseline to the mean failure rate of the healthier half of the servers.
   void refresh_baseline_failure_rates() {
     for (std::size_t kind = 0; kind < baseline_failure_rates.size(); ++kind) {
       rate_scratch.clear();
@@ -695,8 +759,8 @@
     }
   }
 
-  /// The part of its keys a server gives up for having been full. It returns with time alone: a
-  /// fleet that tells no load never said that a server was calm again.
+  /// The fraction of its keys that a server gives up for rejecting requests as overloaded. It
+  /// decays with time alone, as servers without load reports never report that they have recovered.
   double current_rejection_penalty(const ServerState& server) const {
     return server.rejection_penalty * decay(server.rejection_penalty_at, kRejectionPenaltyHalfLife);
   }
@@ -716,7 +780,8 @@
       if (!std::isfinite(value)) continue;
       if (config.report_fields[k] == ReportField::Utilization) {
         mean_utilization += 0.03 * (value - mean_utilization);
-        // Against the fleet: were all hot servers to shed, nearly every key would move and miss.
+        // Relative to the fleet: if all overloaded servers shed keys, nearly every key would move
+        // and miss.
         overload =
             std::max(overload, (value - std::max(kOverloadUtilization,
                                                  mean_utilization + kOverloadUtilizationMargin)) /
@@ -727,7 +792,7 @@
             std::max(overload, std::min(2.0, (value - 2 - 2 * mean_queue) / (2 + mean_queue)));
       }
     }
-    // A server that gave up most of its keys is seen rarely: its return goes by the time passed.
+    // A server that gave up most of its keys reports rarely, so recovery goes by the time passed.
     double seconds = static_cast<double>(now - server.report_at) / kSecond;
     server.report_at = now;
     server.load_live_fraction *= std::exp(
@@ -736,20 +801,22 @@
     server.load_live_fraction = std::clamp(server.load_live_fraction, kMinLoadLiveFraction, 1.0);
   }
 
-  // ---- admission ----
+  // ---- admission control ----
   double rate_decay() const {
     return std::exp(-static_cast<double>(now - rates_decayed_at) / (kRateWindowSeconds * kSecond));
   }
 
-  double attempts_per_second()
-      const {  // per second; not of arrivals: what is refused loads no server
+  /// Counts attempts rather than arrivals: refused requests do not load servers.
+  double attempts_per_second() const {
     double window_seconds = std::max(
         0.2, std::min(kRateWindowSeconds, static_cast<double>(now - started_at) / kSecond));
     return attempt_rate_sum * rate_decay() / window_seconds;
   }
 
+  /// The expected cost of a request relative to the mean one: by its work if given, otherwise by
+  /// the usual latency of its class.
   double cost_of(const OpenRequest& open) const {
-    if (!open.request.work || mean_work <= 0) {  // no hints: by the latency usual for the class
+    if (!open.request.work || mean_work <= 0) {
       const ClassState& class_state = *open.class_state;
       return class_state.samples < 5
                  ? 1
@@ -758,11 +825,11 @@
     return std::clamp(static_cast<double>(*open.request.work) / mean_work, 0.2, 5.0);
   }
 
-  /// The admitted part shrinks a little while many admitted requests end unserved or late, and
-  /// grows back otherwise, also without evidence: a level that waited for answers stayed up when
-  /// few were left, and one that moved in large steps swung between refusing nearly all and a jam.
-  /// Keys that were answered lately have a door of their own: a jammed origin makes the others end
-  /// badly and leaves these alone, overloaded servers make both.
+  /// Lowers the admitted fraction by a small step while many admitted requests get a late answer or
+  /// none, and raises it otherwise, also without results: a shed fraction that waited for results
+  /// stayed high when few were left, and one that moved in large steps oscillated between shedding
+  /// nearly everything and overload. Likely cache hits have an admission state of their own: an
+  /// overloaded origin makes only the likely misses fail, overloaded servers make both fail.
   void update_admission() {
     if (now - admission_updated_at < kAdmissionInterval) return;
     for (bool cached : {false, true}) {
@@ -786,14 +853,15 @@
 
   bool shedding() const { return admission[0].shed_fraction > 0 || admission[1].shed_fraction > 0; }
 
-  /// Whether the request is turned away at the door.
+  /// Whether admission control refuses the request.
   bool should_shed(const OpenRequest& open) {
     update_admission();
     const ClassSettings& class_settings = open.class_state->settings;
     double shed_fraction = admission[open.cached].shed_fraction;
     double probability = shed_fraction;
-    // Around the mean worth of what comes, so that all together lose the shed part and no more:
-    // taken from the best class, the bulk of the traffic was refused whole and servers stood idle.
+    // Relative to the mean worth of arriving requests, so that the shed fraction holds over all of
+    // them: relative to the class of highest worth, the bulk of the traffic was refused altogether
+    // and servers were idle.
     double worth = class_settings.worth / (config.worth_by_work ? 1 : cost_of(open));
     mean_worth += (mean_worth <= 0 ? 1 : 0.02) * (worth - mean_worth);
     if (worth > 0) probability *= std::clamp(mean_worth / worth, kMinShedFactor, kMaxShedFactor);
@@ -807,9 +875,9 @@
     }
     if (shed_fraction <= 0) return false;
     if (open.request.key.empty()) return random() < probability;
-    // By key, alike at every router: what is let in stays cached and is answered by hits, so a
-    // fleet whose copies went void and whose origin is jammed fills again key by key, the wanted
-    // ones first. Refusing at random, every key's misses went on and the origin never caught up.
+    // Decided by key and alike at every router: admitted keys stay cached and are answered by hits,
+    // so that a fleet with empty caches and an overloaded origin fills up key by key, popular keys
+    // first. With random shedding, misses of every key went on and the origin never caught up.
     if (open.recent_requests >= kLikelyCachedRequests) probability *= probability;
     return position_in_slot(mix(~open.key_hash)) < probability;
   }
@@ -846,7 +914,8 @@
                        [](const Attempt& a) { return a.execution != Execution::NeverRan; });
   }
 
-  /// When the servers' memory of what a keyed request may have done begins to end.
+  /// The time before which a repeat of a Keyed request must be sent: then the servers begin to
+  /// forget the key of an attempt that may have run.
   Micros repeat_deadline(const OpenRequest& open) const {
     Micros deadline = Send::kAnyTime;
     for (const Attempt& attempt : open.attempts)
@@ -857,10 +926,12 @@
     return deadline;
   }
 
-  /// Rules 2 and 3 for one more attempt at `server`.
+  /// Whether one more attempt at the server is safe to repeat there, within the limit of attempts,
+  /// and not to a draining or removed server.
   bool may_send(const OpenRequest& open, int index) const {
-    const ServerState& to = servers[index];
-    if (!usable(to) || static_cast<int>(open.attempts.size()) >= config.max_attempts) return false;
+    const ServerState& target = servers[index];
+    if (!usable(target) || static_cast<int>(open.attempts.size()) >= config.max_attempts)
+      return false;
     if (!config.may_hedge && any_pending(open)) return false;
     const ClassSettings& class_settings = open.class_state->settings;
     if (class_settings.effect == Effect::Repeatable) return true;
@@ -868,14 +939,16 @@
     for (const Attempt& attempt : open.attempts) {
       if (attempt.execution == Execution::NeverRan) continue;
       if (class_settings.effect == Effect::Once) return false;
-      const Server& from = servers[attempt.server].listed;
-      if (class_settings.group == Group::Zone && from.zone != to.listed.zone) return false;
-      if (class_settings.group == Group::Cell && (from.cell < 0 || from.cell != to.listed.cell))
+      const Server& previous = servers[attempt.server].listed;
+      if (class_settings.group == Group::Zone && previous.zone != target.listed.zone) return false;
+      if (class_settings.group == Group::Cell &&
+          (previous.cell < 0 || previous.cell != target.listed.cell))
         return false;
     }
     return true;
   }
 
+  /// Whether the request may be refused, which promises the client that a retry is harmless.
   bool may_refuse(const OpenRequest& open) const {
     const ClassSettings& class_settings = open.class_state->settings;
     if (class_settings.effect == Effect::Repeatable || !may_have_run(open)) return true;
@@ -887,7 +960,8 @@
         Timer{std::max<Micros>(after, 1), id << 2 | kind, kind == kListTimer ? 0 : id});
   }
 
-  /// With `fault` it ends for a reason that tells nothing of load, so the doors don't count it.
+  /// Answers a request that was not served. An `isolated` failure is no sign of load, so admission
+  /// control does not count it.
   void finish(OpenRequest& open, bool isolated = false) {
     if (open.closed) return;
     open.closed = true;
@@ -911,9 +985,10 @@
     auto it = open_requests.find(id);
     if (it == open_requests.end() || !it->second.closed || any_pending(it->second)) return;
     for (const Attempt& attempt : it->second.attempts) --servers[attempt.server].references;
-    open_requests.drop(it);
+    open_requests.erase_and_recycle(it);
   }
 
+  /// The time after which an attempt is hedged or given up.
   Micros attempt_timeout(const OpenRequest& open) const {
     const ClassState& class_state = *open.class_state;
     double usual_latency = class_state.samples > 0
@@ -923,9 +998,9 @@
                                         4.0 * static_cast<double>(config.timer_granularity)));
   }
 
-  /// Whether an attempt that is out when the client's time ends is a stall: out for longer than
-  /// nearly all take, as clients give a try up before patience() ends where misses take long. Not
-  /// where servers are met often: there an overload looks like many stalls.
+  /// Whether an attempt that is pending at the request's deadline counts as a timeout. With low
+  /// traffic the latency quantile is enough, as clients whose cache misses take long give up before
+  /// attempt_timeout(). With more traffic it is not: overload would look like many timeouts.
   bool is_timeout(const OpenRequest& open, const Attempt& attempt) const {
     auto timeout = static_cast<double>(attempt_timeout(open));
     double usual_latency = std::max(open.class_state->latency_quantile,
@@ -934,13 +1009,13 @@
            (low_traffic() ? std::min(timeout, usual_latency) : timeout);
   }
 
-  /// Aside mode: writes, and reads that a cache answered with a miss, go to the origin.
+  /// Cache-aside mode: writes, and reads after a cache miss, go to the origin.
   bool needs_origin(const OpenRequest& open) const {
     return config.cache_aside && !config.origin_kind.empty() &&
            (open.request.write || open.cache_missed);
   }
 
-  /// The origin is never carved: its usable member with the fewest own attempts out.
+  /// The origin has no slots: sends to its usable server with the fewest attempts in flight.
   bool send_to_origin(OpenRequest& open) {
     int best = -1;
     for (const auto& [id, i] : index_by_id)
@@ -952,7 +1027,7 @@
     return true;
   }
 
-  /// Sends the request onward along its walk; false when no server may take it.
+  /// Sends the request to the next server of its walk; false if no server may take it.
   bool send(OpenRequest& open) {
     refresh();
     if (needs_origin(open)) return send_to_origin(open);
@@ -967,11 +1042,11 @@
     if (selection.server < 0) selection = rendezvous_fallback(open);
     if (selection.server < 0) return false;
     open.seed = selection.seed;
-    // Admitted ones only: clients repeat what is refused, which is no use of the quota.
+    // Admitted requests only: clients repeat refused ones, which do not use the quota.
     auto tenant = tenant_rates.find(open.request.tenant);
     if (first && tenant != tenant_rates.end()) tenant->second += 1;
     if (saved) {
-      if (saved->landings++ == 0) saved->first_server = selection.server;
+      if (saved->selections++ == 0) saved->first_server = selection.server;
       saved->seed = selection.seed;
     }
     start_attempt(open, selection.server);
@@ -992,8 +1067,8 @@
                       open.class_state->settings.effect != Effect::Once &&
                       !open.class_state->settings.streamed;
     Micros attempt_limit = 0;
-    if (may_repeat && timeout * 3 / 2 < remaining &&
-        !is_origin(server)) {  // never a second copy at the origin
+    // An attempt at the origin is never hedged.
+    if (may_repeat && timeout * 3 / 2 < remaining && !is_origin(server)) {
       if (config.may_hedge)
         add_timer(timeout, open.request.id, kHedgeTimer);
       else
@@ -1002,11 +1077,11 @@
     actions.push_back(Send{open.request.id, server.listed.id, attempt_limit, send_before});
   }
 
-  /// A broken connection, or a failure of a server that stands out by it: the fault of one server
-  /// or one connection. It is no sign of overload, so it closes no door, and another server is
-  /// worth a try also while requests are refused. It should cover spoilt answers, crashes and
-  /// servers that fail whatever they get; it hurts where servers that are overloaded break
-  /// connections instead of refusing.
+  /// Whether a failure is the fault of one server or connection: a broken connection, or a failure
+  /// at an outlier. It is no sign of overload: admission control does not count it, and it is
+  /// retried at another server even while requests are shed. This covers corrupt answers, crashes
+  /// and servers that fail every request; it is wrong for overloaded servers that break connections
+  /// instead of rejecting requests.
   bool is_isolated_failure(Status status, const ServerState& server) const {
     if (status == Status::Error) return is_outlier(server, kErrors);
     if (status == Status::Timeout) return is_outlier(server, kTimeouts);
@@ -1019,22 +1094,24 @@
     bool isolated = is_isolated_failure(status, server);
     bool never_sent = status == Status::ConnectFailed || status == Status::NotSent;
     bool never_ran = status == Status::Overloaded || never_sent;
-    // The first break of a kept connection is tried again whatever the budget holds, as it tells
-    // nothing of the load. This should cover time-outs of idle connections on the way and restarts
-    // behind a balancer; it hurts where servers that are overloaded break connections, so not once
-    // more than a few do.
+    // The first failure on a stale keep-alive connection is retried regardless of the budget, as it
+    // is no sign of load. This covers idle timeouts of middleboxes and restarts behind a load
+    // balancer; it is wrong for overloaded servers that break connections, so it stops when more
+    // than a few connections break.
     bool stale_connection = status == Status::StaleConnection && open.attempts.size() == 1 &&
                             disconnect_rate < kMaxBenignDisconnectFraction;
     double cost = stale_connection ? 0 : never_ran ? 0.25 : isolated ? 0.5 : 1;
     bool time_left = open.deadline - now > 2 * config.timer_granularity;
-    if (status == Status::Miss && time_left && send(open)) return;  // no failure: no tokens
-    // A fetch that failed ends in an error, and another server would only ask the origin once more:
-    // what jams it. Errors are worth a retry where they come from one server and not from others.
+    if (status == Status::Miss && time_left && send(open))
+      return;  // a miss is no failure: costs no tokens
+    // A failed fetch from the origin ends in an error, and another server would only fetch once
+    // more and overload the origin further. Errors are retried if they come from one server rather
+    // than from many.
     bool no_retry = status == Status::Error && !isolated &&
                     (baseline_failure_rates[kErrors] > kMaxRetriableErrorFraction ||
                      server.failure_score < kErrorAttributionScore);
-    // Nor anything while requests are refused: a retry would take the place of a first try. A
-    // refused connection cost nobody.
+    // While requests are shed nothing else is retried, as a retry would take the place of a first
+    // attempt. An attempt that was never sent has cost no server anything.
     no_retry |= !never_sent && !isolated && shedding();
     if (!no_retry && time_left && retry_tokens >= cost) {
       retry_tokens -= cost;
@@ -1043,7 +1120,7 @@
     finish(open, isolated);
   }
 
-  // ---- list ----
+  // ---- host list ----
   void schedule_list_request(Micros after) { add_timer(after, ++list_timer_token, kListTimer); }
 
   void handle_list_failure() {
@@ -1069,7 +1146,8 @@
       server.listed.zone = previous.zone, server.listed.cell = previous.cell;
     server.present = entry.health != Health::Removed;
     server.zone = &zones[zones.count(server.listed.zone) ? server.listed.zone : ""];
-    if (restarted && server.present) {  // a new process: what was held against the old one is void
+    // A new process: what was recorded about the old one no longer applies.
+    if (restarted && server.present) {
       server.failure_score = 0, server.consecutive_ejections = 0, server.ejected_until = 0,
       server.recovery_start = 0;
       server.log_latency_ratio = 0, server.latency_samples = 0, server.load_live_fraction = 1,
@@ -1078,8 +1156,8 @@
     }
   }
 
-  /// Forgets servers that have left once no open request names them: where each machine that is
-  /// replaced comes back under a new id, all that is kept of old ones would grow for ever.
+  /// Erases removed servers that no open request refers to. Where each replaced machine returns
+  /// under a new id, the state of old ones would otherwise grow without bound.
   void erase_removed_servers() {
     for (auto it = index_by_id.begin(); it != index_by_id.end();) {
       int i = it->second;
@@ -1087,8 +1165,8 @@
         ++it;
         continue;
       }
-      for (auto& [name, seed] : saved_seeds)
-        if (seed.first_server == i) seed.first_server = -1;
+      for (auto& [key_hash, saved] : saved_seeds)
+        if (saved.first_server == i) saved.first_server = -1;
       servers[i] = ServerState();
       free_indices.push_back(i);
       it = index_by_id.erase(it);
@@ -1126,7 +1204,7 @@
     require(is_amount(config.cross_zone_charge), "cross_zone_charge");
   }
 
-  /// What was seen of a class or tenant is kept under its name.
+  /// Statistics of classes and tenants are kept by name.
   void apply_settings(const Settings& settings) {
     config = settings;
     validate();
@@ -1145,13 +1223,14 @@
     tenant_rates.swap(kept_rates);
   }
 
-  /// An unknown one is treated as the first.
+  /// The class of this name; the first one if it is unknown.
   std::shared_ptr<ClassState> class_of(const std::string& name) const {
     for (const auto& class_state : classes)
       if (class_state->settings.name == name) return class_state;
     return classes.empty() ? nullptr : classes.front();
   }
 
+  /// Starts a call of the public interface: advances the clock and clears the actions.
   void begin_call(Micros time) {
     now = std::max(now, time);
     actions.clear();
@@ -1199,10 +1278,10 @@
   if (scope != ListScope::Cached && impl.watch_pending)
     impl.watch_pending = false, impl.watching = true;
   if (scope != ListScope::Delta) {
-    std::map<std::string, bool> references;
-    for (const Server& entry : entries) references[entry.id] = true;
+    std::map<std::string, bool> listed_ids;
+    for (const Server& entry : entries) listed_ids[entry.id] = true;
     for (auto& [id, i] : impl.index_by_id)
-      if (!references.count(id))
+      if (!listed_ids.count(id))
         impl.servers[i].present = false, impl.servers[i].listed.health = Health::Removed;
   }
   for (const Server& entry : entries) impl.update_server(entry);
@@ -1214,9 +1293,9 @@
 const Actions& Balancer::on_request(Micros now, const Request& request) {
   Impl& impl = *impl_;
   impl.begin_call(now);
-  auto [open, inserted] = impl.open_requests.enter(request.id);
+  auto [open, inserted] = impl.open_requests.find_or_insert(request.id);
   if (!inserted) return impl.actions;
-  open.request = request;  // by assignment: an entry that was used before keeps its memory
+  open.request = request;  // assigned, so that a recycled entry reuses its memory
   open.attempts.clear();
   open.closed = open.cache_missed = open.cached = open.reached_server = false;
   open.recent_requests = 0, open.seed = 0;
@@ -1231,7 +1310,7 @@
     impl.erase_if_done(request.id);
     return impl.actions;
   }
-  // The last moment for an answer of our own, a little ahead of the client's.
+  // Leaves time for a final answer before the client's own timeout.
   impl.add_timer(request.remaining - 2 * impl.config.timer_granularity, request.id, kDeadlineTimer);
   return impl.actions;
 }
@@ -1246,7 +1325,7 @@
     return impl.actions;
   Impl::OpenRequest& open = it->second;
   impl.record_success(impl.servers[at->second]);
-  // The stream belongs to the client from here: no deadline, no further attempts.
+  // The response is streamed to the client from here on: no deadline and no further attempts.
   if (!open.closed)
     impl.record_result(open, true,
                        impl.now - open.arrived_at <= open.class_state->settings.latency_objective);
@@ -1271,10 +1350,10 @@
                    outcome.status == Status::ConnectFailed || outcome.status == Status::NotSent ||
                    outcome.status == Status::Miss;
   attempt.execution = never_ran ? Impl::Execution::NeverRan : Impl::Execution::MayHaveRun;
-  bool unreachable_rate = outcome.status == Status::ConnectFailed;
-  open.reached_server |= !unreachable_rate && outcome.status != Status::NotSent;
-  if (outcome.status <= Status::Overloaded || unreachable_rate)
-    impl.record_reachability(attempt.server, !unreachable_rate);
+  bool connect_failed = outcome.status == Status::ConnectFailed;
+  open.reached_server |= !connect_failed && outcome.status != Status::NotSent;
+  if (outcome.status <= Status::Overloaded || connect_failed)
+    impl.record_reachability(attempt.server, !connect_failed);
   impl.record_load_report(server, outcome.report);
   update_rate(impl.error_rate, outcome.status == Status::Error);
   update_rate(impl.overloaded_rate, outcome.status == Status::Overloaded);
@@ -1292,7 +1371,7 @@
       impl.record_success(server);
       open.cache_missed = true;
       break;
-    case Status::Overloaded:  // overloaded, not dead
+    case Status::Overloaded:  // no evidence of a failed server
       impl.record_overloaded(server);
       break;
     case Status::Timeout:
@@ -1308,8 +1387,8 @@
     case Status::ConnectFailed:
       impl.record_failure(server, 1, impl.unreachable_rate);
       break;
-    case Status::StaleConnection:  // tells of the connection: a server that is dead refuses the
-                                   // next one
+    // Evidence about the connection only: a failed server refuses the next connection.
+    case Status::StaleConnection:
     case Status::Cancelled:
     case Status::NotSent:
       break;
@@ -1346,16 +1425,17 @@
     if (id != impl.list_timer_token || impl.watching) return impl.actions;
     impl.watch_pending = true;
     impl.actions.push_back(Watch{});
-    impl.schedule_list_request(
-        impl.config.list_refresh_interval);  // asks again should no answer come at all
+    // Asks again if no answer comes at all.
+    impl.schedule_list_request(impl.config.list_refresh_interval);
     return impl.actions;
   }
   auto it = impl.open_requests.find(id);
   if (it == impl.open_requests.end() || it->second.closed) return impl.actions;
   Impl::OpenRequest& open = it->second;
   if (kind == kDeadlineTimer) {
-    // Nor does the end of one that came with less time than its aim tell of load: a client's last
-    // retries. They ended unserved on idle servers, shut the doors, and brought on more retries.
+    // A request that arrived with less time than its latency objective is no sign of load: it is a
+    // client's last retry. Such requests failed with the servers idle, were counted as overload,
+    // and the shedding caused more retries.
     bool isolated = open.deadline - open.arrived_at < open.class_state->settings.latency_objective;
     for (const Impl::Attempt& attempt : open.attempts) {
       if (attempt.execution != Impl::Execution::Pending || !impl.is_timeout(open, attempt))
@@ -1397,8 +1477,8 @@
 
 std::string Balancer::preferred_server(const std::string& key) const {
   std::uint64_t seed = hash_string(key);
-  int left = kMaxDrawsPerWalk;
-  int i = impl_->next_live_server(seed, left);
+  int draws_left = kMaxDrawsPerWalk;
+  int i = impl_->next_live_server(seed, draws_left);
   return i < 0 ? std::string() : impl_->servers[i].listed.id;
 }
 
