--- a/src/drill/main.cpp
+++ b/src/drill/main.cpp
@@ -1,4 +1,4 @@
-// Speaks the simulator's wire on standard input and output; see wire.hpp.
+// Serves the simulator's line protocol on standard input and output; see wire.hpp.
 #include <iostream>
 #include <string>
 
@@ -9,17 +9,17 @@
   std::cin.tie(nullptr);
   violetusher::drill::Adapter adapter;
   std::string line;
-  std::uint64_t number = 0;
+  std::uint64_t line_number = 0;
   try {
     while (std::getline(std::cin, line)) {
-      ++number;
+      ++line_number;
       if (line.empty()) continue;
-      std::string reply = adapter.take(line);
+      std::string reply = adapter.process_line(line);
       if (!reply.empty()) std::cout << reply << std::flush;
     }
     if (adapter.in_batch()) throw violetusher::protocol::WireError("input ends inside a batch");
   } catch (const std::exception& e) {
-    std::cerr << "violetusher_drill: line " << number << ": " << e.what() << '\n';
+    std::cerr << "violetusher_drill: line " << line_number << ": " << e.what() << '\n';
     return 1;
   }
   return 0;
--- a/src/drill/wire.cpp
+++ b/src/drill/wire.cpp
@@ -27,13 +27,13 @@
       in_range(line.integer("Tid"), 0, (std::int64_t{1} << 52) - 1, "Tid"));
 }
 
-Micros span(const Line& line, std::string_view key, Micros absent) {
-  return in_range(line.integer(key, absent), 0, std::int64_t{1} << 60, key);
+Micros duration(const Line& line, std::string_view key, Micros default_value) {
+  return in_range(line.integer(key, default_value), 0, std::int64_t{1} << 60, key);
 }
 
-Micros span(const Line& line, std::string_view key) {
-  line.text(key);
-  return span(line, key, 0);
+Micros duration(const Line& line, std::string_view key) {
+  line.text(key);  // throws if it is absent
+  return duration(line, key, 0);
 }
 
 int attempt_of(const Line& line) {
@@ -52,16 +52,16 @@
 Line::Line(std::string_view text) {
   std::size_t end = text.find(' ');
   name_ = text.substr(0, end);
-  if (name_.empty()) throw WireError("no message name");
+  if (name_.empty()) throw WireError("line without a message name");
   while (end != text.npos) {
     text.remove_prefix(end + 1);
     end = text.find(' ');
     std::string_view part = text.substr(0, end);
     if (part.empty()) continue;
-    std::size_t eq = part.find('=');
-    if (eq == part.npos || eq == 0)
+    std::size_t equals = part.find('=');
+    if (equals == part.npos || equals == 0)
       throw WireError("'" + std::string(part) + "' is not name=value");
-    pairs_.emplace_back(part.substr(0, eq), part.substr(eq + 1));
+    pairs_.emplace_back(part.substr(0, equals), part.substr(equals + 1));
   }
 }
 
@@ -78,26 +78,26 @@
 
 std::int64_t Line::integer(std::string_view key) const { return to_integer(text(key), key); }
 
-std::int64_t Line::integer(std::string_view key, std::int64_t absent) const {
+std::int64_t Line::integer(std::string_view key, std::int64_t default_value) const {
   const auto* value = find(key);
-  return value ? to_integer(*value, key) : absent;
+  return value ? to_integer(*value, key) : default_value;
 }
 
-double Line::number(std::string_view key, double absent) const {
+double Line::number(std::string_view key, double default_value) const {
   const auto* value = find(key);
-  return value ? to_number(*value, key) : absent;
+  return value ? to_number(*value, key) : default_value;
 }
 
-bool Line::flag(std::string_view key, bool absent) const {
+bool Line::flag(std::string_view key, bool default_value) const {
   const auto* value = find(key);
-  return value ? to_flag(*value, key) : absent;
+  return value ? to_flag(*value, key) : default_value;
 }
 
 SettingPairs pairs_by_path(const Line& line) {
   return SettingPairs(line.pairs().begin(), line.pairs().end());
 }
 
-std::string line_of(const Action& action) {
+std::string format_action(const Action& action) {
   struct Writer {
     std::string operator()(const Send& a) const {
       std::string line = "route Tid=" + std::to_string(a.id) + " Server=" + a.server;
@@ -125,17 +125,18 @@
   return std::visit(Writer{}, action);
 }
 
-std::string Adapter::take(std::string_view text) {
+std::string Adapter::process_line(std::string_view text) {
   if (!text.empty() && text.back() == '\r') text.remove_suffix(1);
   Line line(text);
-  if (entries_due_ > 0 && line.name() != "m") throw WireError("a list entry was due");
+  if (missing_entries_ > 0 && line.name() != "m")
+    throw WireError("expected a list entry 'm', as many as Elements announced");
   if (line.name() == "batch") {
-    if (in_batch_) throw WireError("a batch inside a batch");
+    if (in_batch_) throw WireError("'batch' inside a batch, expected 'your_turn' first");
     Micros now = line.integer("NowUs");
-    if (seen_batch_ && now < now_) throw WireError("the clock runs backwards");
+    if (seen_batch_ && now < now_) throw WireError("NowUs is earlier than in the previous batch");
     now_ = now;
     in_batch_ = seen_batch_ = true;
-    who_.clear(), written_.clear(), reply_.clear();
+    instance_.clear(), reply_instance_.clear(), reply_.clear();
     return {};
   }
   if (!in_batch_) throw WireError("'" + std::string(line.name()) + "' outside a batch");
@@ -143,100 +144,105 @@
     in_batch_ = false;
     return std::move(reply_) + "done\n";
   }
-  event(line);
+  handle_event(line);
   return {};
 }
 
-Balancer& Adapter::current() {
-  auto it = hosts_.find(who_);
-  if (it == hosts_.end()) throw WireError("an event for '" + who_ + "' before its enlist");
+Balancer& Adapter::current_balancer() {
+  auto it = balancers_.find(instance_);
+  if (it == balancers_.end()) throw WireError("an event for '" + instance_ + "' before its enlist");
   return *it->second;
 }
 
-void Adapter::emit(const Actions& actions) {
+void Adapter::append_reply(const Actions& actions) {
   if (actions.empty()) return;
-  if (written_ != who_) reply_ += "instance Who=" + who_ + "\n", written_ = who_;
-  for (const Action& action : actions) reply_ += line_of(action), reply_ += '\n';
+  if (reply_instance_ != instance_)
+    reply_ += "instance Who=" + instance_ + "\n", reply_instance_ = instance_;
+  for (const Action& action : actions) reply_ += format_action(action), reply_ += '\n';
 }
 
-void Adapter::end_list() { emit(current().on_list(now_, scope_, entries_)); }
+void Adapter::deliver_list() {
+  append_reply(current_balancer().on_list(now_, list_scope_, list_entries_));
+}
 
-void Adapter::event(const Line& line) {
+void Adapter::handle_event(const Line& line) {
   std::string_view name = line.name();
   if (name == "switch_to") {
-    who_ = line.text("Who");
-    if (who_.empty()) throw WireError("switch_to without Who");
+    instance_ = line.text("Who");
+    if (instance_.empty()) throw WireError("switch_to without Who");
     return;
   }
-  if (who_.empty()) throw WireError("'" + std::string(name) + "' before switch_to");
+  if (instance_.empty()) throw WireError("'" + std::string(name) + "' before switch_to");
   if (name == "enlist") {
     std::int64_t seed = line.integer("RngSeed");
     try {
-      hosts_[who_] = std::make_unique<Balancer>(settings_of(pairs_by_path(line)),
-                                                static_cast<std::uint64_t>(seed), now_);
+      balancers_[instance_] = std::make_unique<Balancer>(settings_of(pairs_by_path(line)),
+                                                         static_cast<std::uint64_t>(seed), now_);
     } catch (const std::invalid_argument& e) {
       throw WireError(e.what());
     }
-    emit(hosts_[who_]->start(now_));
+    append_reply(balancers_[instance_]->start(now_));
   } else if (name == "detach") {
-    current();
-    hosts_.erase(who_);
+    current_balancer();  // throws for an unknown instance
+    balancers_.erase(instance_);
   } else if (name == "membership") {
-    current();
+    current_balancer();  // throws for an unknown instance
     std::int64_t scope = in_range(line.integer("Scope"), 0, 3, "Scope");
-    scope_ = static_cast<ListScope>(scope);
-    entries_.clear();
-    entries_due_ = in_range(line.integer("Elements", 0), 0, 10'000'000, "Elements");
-    if (entries_due_ == 0) end_list();
+    list_scope_ = static_cast<ListScope>(scope);
+    list_entries_.clear();
+    missing_entries_ = in_range(line.integer("Elements", 0), 0, 10'000'000, "Elements");
+    if (missing_entries_ == 0) deliver_list();
   } else if (name == "m") {
-    if (entries_due_ == 0) throw WireError("a list entry that was not announced");
-    Server s;
-    s.id = line.text("Server");
-    s.zone = line.find("RegionPart") ? line.text("RegionPart") : "";
-    s.kind = line.find("Hw") ? line.text("Hw") : "";
-    s.cell = line.integer("UnitGroup", -1);
-    s.health = static_cast<Health>(in_range(line.integer("Health", 0), 0, 2, "Health"));
-    s.weight = line.number("Share", 1);
-    if (s.weight < 0) throw bad("Share", line.text("Share"));
-    s.up_since = line.integer("UpSinceUs", 0);
-    entries_.push_back(std::move(s));
-    if (--entries_due_ == 0) end_list();
+    if (missing_entries_ == 0) throw WireError("a list entry that was not announced");
+    Server server;
+    server.id = line.text("Server");
+    server.zone = line.find("RegionPart") ? line.text("RegionPart") : "";
+    server.kind = line.find("Hw") ? line.text("Hw") : "";
+    server.cell = line.integer("UnitGroup", -1);
+    server.health = static_cast<Health>(in_range(line.integer("Health", 0), 0, 2, "Health"));
+    server.weight = line.number("Share", 1);
+    if (server.weight < 0) throw bad("Share", line.text("Share"));
+    server.up_since = line.integer("UpSinceUs", 0);
+    list_entries_.push_back(std::move(server));
+    if (--missing_entries_ == 0) deliver_list();
   } else if (name == "arrival") {
-    Request r;
-    r.id = request_id(line);
-    r.type = line.text("Type");
-    if (const auto* v = line.find("Project")) r.tenant = *v;
-    if (const auto* v = line.find("Entity")) r.key = *v;
-    r.remaining = span(line, "RemainingUs");
-    if (line.find("HintUs")) r.work = span(line, "HintUs");
-    r.repeat = line.flag("Repeat");
-    r.write = line.flag("Mutates");
-    emit(current().on_request(now_, r));
+    Request request;
+    request.id = request_id(line);
+    request.type = line.text("Type");
+    if (const auto* v = line.find("Project")) request.tenant = *v;
+    if (const auto* v = line.find("Entity")) request.key = *v;
+    request.remaining = duration(line, "RemainingUs");
+    if (line.find("HintUs")) request.work = duration(line, "HintUs");
+    request.repeat = line.flag("Repeat");
+    request.write = line.flag("Mutates");
+    append_reply(current_balancer().on_request(now_, request));
   } else if (name == "established") {
-    emit(current().on_response_start(now_, request_id(line), std::string(line.text("Server")),
-                                     attempt_of(line), span(line, "LatencyUs", 0)));
+    append_reply(current_balancer().on_response_start(
+        now_, request_id(line), std::string(line.text("Server")), attempt_of(line),
+        duration(line, "LatencyUs", 0)));
   } else if (name == "verdict") {
-    Outcome o;
-    o.id = request_id(line);
-    o.finished = line.flag("Finished");
-    o.server = line.text("Server");
-    o.status = word(kStatus, line.text("Rc"), "Rc");
-    o.latency = span(line, "LatencyUs", 0);
-    o.attempt = attempt_of(line);
-    o.cache_result = static_cast<int>(in_range(line.integer("Detail", 0), 0, 1'000, "Detail"));
-    o.report = report_of(line);
-    emit(current().on_outcome(now_, o));
+    Outcome outcome;
+    outcome.id = request_id(line);
+    outcome.finished = line.flag("Finished");
+    outcome.server = line.text("Server");
+    outcome.status = word(kStatus, line.text("Rc"), "Rc");
+    outcome.latency = duration(line, "LatencyUs", 0);
+    outcome.attempt = attempt_of(line);
+    outcome.cache_result =
+        static_cast<int>(in_range(line.integer("Detail", 0), 0, 1'000, "Detail"));
+    outcome.report = report_of(line);
+    append_reply(current_balancer().on_outcome(now_, outcome));
   } else if (name == "left") {
-    emit(current().on_client_disconnect(now_, request_id(line)));
+    append_reply(current_balancer().on_client_disconnect(now_, request_id(line)));
   } else if (name == "ring") {
-    emit(current().on_timer(
+    append_reply(current_balancer().on_timer(
         now_, static_cast<std::uint64_t>(in_range(line.integer("Nonce"), 0, INT64_MAX, "Nonce"))));
   } else if (name == "check_result") {
-    emit(current().on_probe(now_, std::string(line.text("Server")),
-                            word(kStatus, line.text("Rc"), "Rc"), span(line, "LatencyUs", 0),
-                            report_of(line)));
+    append_reply(current_balancer().on_probe(now_, std::string(line.text("Server")),
+                                             word(kStatus, line.text("Rc"), "Rc"),
+                                             duration(line, "LatencyUs", 0), report_of(line)));
   } else if (name == "peer") {
-    current();  // routers share nothing
+    current_balancer();  // routers exchange no state
   } else {
     throw WireError("unknown message '" + std::string(name) + "'");
   }
--- a/src/drill/wire.hpp
+++ b/src/drill/wire.hpp
@@ -1,5 +1,5 @@
-// The simulator's wire: turns its lines into calls on Balancer and actions back into lines.
-// It decides nothing.
+// The adapter between the simulator's line protocol and the decision module: parses its lines into
+// calls on Balancer and formats actions as lines. It makes no decisions.
 #pragma once
 
 #include <map>
@@ -16,18 +16,18 @@
 using protocol::SettingPairs;
 using protocol::WireError;
 
-/// One line: its message name and its name=value pairs in order.
+/// A parsed line: its message name and its name=value pairs, in order.
 class Line {
  public:
   explicit Line(std::string_view text);
   std::string_view name() const { return name_; }
   /// The value, or nullptr when absent.
   const std::string_view* find(std::string_view key) const;
-  std::string_view text(std::string_view key) const;  ///< throws WireError when absent
-  std::int64_t integer(std::string_view key) const;   ///< throws when absent or malformed
-  std::int64_t integer(std::string_view key, std::int64_t absent) const;
-  double number(std::string_view key, double absent) const;
-  bool flag(std::string_view key, bool absent = false) const;
+  std::string_view text(std::string_view key) const;  ///< throws WireError if absent
+  std::int64_t integer(std::string_view key) const;   ///< throws if absent or malformed
+  std::int64_t integer(std::string_view key, std::int64_t default_value) const;
+  double number(std::string_view key, double default_value) const;
+  bool flag(std::string_view key, bool default_value = false) const;
   const std::vector<std::pair<std::string_view, std::string_view>>& pairs() const { return pairs_; }
 
  private:
@@ -35,37 +35,37 @@
   std::vector<std::pair<std::string_view, std::string_view>> pairs_;
 };
 
-/// The settings of an `enlist` line, whose pairs are named by path.
+/// The settings of an `enlist` line, whose pairs are named by their paths.
 SettingPairs pairs_by_path(const Line& line);
 
-/// One action as a wire line, without its line end.
-std::string line_of(const Action& action);
+/// An action as a line of the protocol, without the line end.
+std::string format_action(const Action& action);
 
-/// All instances that one process hosts.
+/// Hosts the simulator's router instances in one process, each with its own Balancer.
 class Adapter {
  public:
-  /// Takes one line; returns the whole reply when it was `your_turn`, otherwise an empty string.
+  /// Processes one line. Returns the whole reply after `your_turn`, otherwise an empty string.
   /// Throws WireError on a malformed line.
-  std::string take(std::string_view text);
+  std::string process_line(std::string_view text);
   /// True between a `batch` line and its `your_turn`.
   bool in_batch() const { return in_batch_; }
 
  private:
-  void event(const Line& line);
-  void end_list();
-  void emit(const Actions& actions);
-  Balancer& current();
+  void handle_event(const Line& line);
+  void deliver_list();
+  void append_reply(const Actions& actions);
+  Balancer& current_balancer();
 
-  std::map<std::string, std::unique_ptr<Balancer>> hosts_;
-  std::string who_;
-  std::string written_;  // the instance that the reply's last lines belong to
+  std::map<std::string, std::unique_ptr<Balancer>> balancers_;  // by instance
+  std::string instance_;                                        // of the next events
+  std::string reply_instance_;  // to which the last lines of the reply belong
   std::string reply_;
   Micros now_ = 0;
   bool in_batch_ = false;
   bool seen_batch_ = false;
-  std::int64_t entries_due_ = 0;
-  ListScope scope_ = ListScope::Full;
-  std::vector<Server> entries_;
+  std::int64_t missing_entries_ = 0;  // of the list being received
+  ListScope list_scope_ = ListScope::Full;
+  std::vector<Server> list_entries_;
 };
 
 }  // namespace violetusher::drill
--- a/tests/drill/wire_test.cpp
+++ b/tests/drill/wire_test.cpp
@@ -15,23 +15,23 @@
     "Tenants.0.Name=t "
     "Tenants.0.QuotaPerS=12.5";
 
-std::string play(Adapter& a, const std::vector<std::string>& lines) {
+std::string replies_to(Adapter& a, const std::vector<std::string>& lines) {
   std::string reply;
-  for (const std::string& line : lines) reply += a.take(line);
+  for (const std::string& line : lines) reply += a.process_line(line);
   return reply;
 }
 
 std::string error_of(const std::vector<std::string>& lines) {
   Adapter a;
   try {
-    play(a, lines);
+    replies_to(a, lines);
   } catch (const WireError& e) {
     return e.what();
   }
   return "";
 }
 
-TEST(Wire, SettingsAreReadAndUnknownOnesSkipped) {
+TEST(SimulatorProtocol, SettingsAreReadAndUnknownOnesIgnored) {
   Settings s = protocol::settings_of(pairs_by_path(Line(kEnlist)));
   ASSERT_EQ(s.classes.size(), 1u);
   EXPECT_EQ(s.classes[0].name, "read");
@@ -50,21 +50,21 @@
   EXPECT_EQ(s.tenants[0].quota_per_s, 12.5);
 }
 
-TEST(Wire, ActionsAreWritten) {
-  EXPECT_EQ(line_of(Send{7, "h:1", 80}), "route Tid=7 Server=h:1 PatienceUs=80");
-  EXPECT_EQ(line_of(Send{7, "h:1", 0}), "route Tid=7 Server=h:1");
-  EXPECT_EQ(line_of(Refuse{7, 9}), "deny Tid=7 WaitUs=9");
-  EXPECT_EQ(line_of(Refuse{7, 0}), "deny Tid=7");
-  EXPECT_EQ(line_of(Fail{7}), "drop_request Tid=7");
-  EXPECT_EQ(line_of(Cancel{7, 2}), "call_off Tid=7 SendNo=2");
-  EXPECT_EQ(line_of(Watch{}), "follow Want=1");
-  EXPECT_EQ(line_of(Fetch{}), "pull");
-  EXPECT_EQ(line_of(Timer{5, 6}), "wake_at SpanUs=5 Nonce=6");
-  EXPECT_EQ(line_of(Probe{"h:1"}), "health_check Server=h:1");
+TEST(SimulatorProtocol, ActionsAreFormatted) {
+  EXPECT_EQ(format_action(Send{7, "h:1", 80}), "route Tid=7 Server=h:1 PatienceUs=80");
+  EXPECT_EQ(format_action(Send{7, "h:1", 0}), "route Tid=7 Server=h:1");
+  EXPECT_EQ(format_action(Refuse{7, 9}), "deny Tid=7 WaitUs=9");
+  EXPECT_EQ(format_action(Refuse{7, 0}), "deny Tid=7");
+  EXPECT_EQ(format_action(Fail{7}), "drop_request Tid=7");
+  EXPECT_EQ(format_action(Cancel{7, 2}), "call_off Tid=7 SendNo=2");
+  EXPECT_EQ(format_action(Watch{}), "follow Want=1");
+  EXPECT_EQ(format_action(Fetch{}), "pull");
+  EXPECT_EQ(format_action(Timer{5, 6}), "wake_at SpanUs=5 Nonce=6");
+  EXPECT_EQ(format_action(Probe{"h:1"}), "health_check Server=h:1");
 }
 
-TEST(Wire, WrittenActionsReadBack) {
-  std::string text = line_of(Send{4503599627370495ULL, "10.0.0.1:80", 123});
+TEST(SimulatorProtocol, FormattedActionsParseBack) {
+  std::string text = format_action(Send{4503599627370495ULL, "10.0.0.1:80", 123});
   Line line(text);
   EXPECT_EQ(line.name(), "route");
   EXPECT_EQ(line.integer("Tid"), 4503599627370495LL);
@@ -72,26 +72,26 @@
   EXPECT_EQ(line.integer("PatienceUs"), 123);
 }
 
-TEST(Wire, AWholeExchange) {
+TEST(SimulatorProtocol, WholeExchange) {
   Adapter a;
-  EXPECT_EQ(play(a, {"batch NowUs=100", "your_turn"}), "done\n");
+  EXPECT_EQ(replies_to(a, {"batch NowUs=100", "your_turn"}), "done\n");
   std::string reply =
-      play(a, {"batch NowUs=200", "switch_to Who=router-1", kEnlist,
-               "membership Scope=2 Epoch=1 Elements=1",
-               "m Server=h:1 RegionPart=a Hw=std UnitGroup=0 Health=0 Share=1",
-               "arrival Tid=5 Type=read Entity=k RemainingUs=500000 Novel=1", "your_turn"});
+      replies_to(a, {"batch NowUs=200", "switch_to Who=router-1", kEnlist,
+                     "membership Scope=2 Epoch=1 Elements=1",
+                     "m Server=h:1 RegionPart=a Hw=std UnitGroup=0 Health=0 Share=1",
+                     "arrival Tid=5 Type=read Entity=k RemainingUs=500000 Novel=1", "your_turn"});
   EXPECT_EQ(reply.rfind("instance Who=router-1\n", 0), 0u) << reply;
   EXPECT_NE(reply.find("\nroute Tid=5 Server=h:1"), std::string::npos) << reply;
   EXPECT_EQ(reply.substr(reply.size() - 5), "done\n");
-  reply = play(
+  reply = replies_to(
       a, {"batch NowUs=20200", "switch_to Who=router-1",
           "verdict Tid=5 Finished=1 Server=h:1 Rc=completed LatencyUs=20000 SendNo=0 Gauge=0.5,2,1",
           "your_turn"});
   EXPECT_EQ(reply, "done\n");
-  play(a, {"batch NowUs=30000", "switch_to Who=router-1", "detach", kEnlist, "your_turn"});
+  replies_to(a, {"batch NowUs=30000", "switch_to Who=router-1", "detach", kEnlist, "your_turn"});
 }
 
-TEST(Wire, MalformedLinesAreNamed) {
+TEST(SimulatorProtocol, ErrorsNameTheMalformedField) {
   std::vector<std::string> start = {"batch NowUs=1", "switch_to Who=router-1", kEnlist};
   auto after = [&](std::string line) {
     auto lines = start;
