--- a/tests/policy/checker.hpp
+++ b/tests/policy/checker.hpp
@@ -1,5 +1,7 @@
-// An independent statement of the four rules for one router: it sees the events and the actions and
-// shares no code with the library.
+// An independent check of the rules that a router must keep, from its events and actions. It shares
+// no code with the library. The rules: 1. each request gets one final answer in time; 2. no request
+// that must not repeat runs twice; 3. nothing is sent to draining or removed servers; 4. no server
+// in slow start is overloaded.
 #pragma once
 
 #include <map>
@@ -10,139 +12,145 @@
 
 namespace violetusher::test {
 
+/// Checks the events and actions of one router.
 class RuleChecker {
  public:
-  /// `capacity`: requests per second a warm server of weight 1 can do.
-  RuleChecker(const Settings& settings, double capacity) : set_(settings), capacity_(capacity) {}
+  /// `capacity`: requests per second that a warm server of weight 1 can handle.
+  RuleChecker(const Settings& settings, double capacity)
+      : settings_(settings), capacity_(capacity) {}
 
-  const std::vector<std::string>& breaks() const { return breaks_; }
+  const std::vector<std::string>& violations() const { return violations_; }
 
-  void list(Micros now, ListScope scope, const std::vector<Server>& entries) {
+  void host_list(Micros now, ListScope scope, const std::vector<Server>& entries) {
     if (scope == ListScope::Failed) return;
     if (scope != ListScope::Delta)
       for (auto& [id, s] : servers_) {
-        bool named = false;
-        for (const Server& e : entries) named |= e.id == id;
-        if (!named && s.entry.health == Health::Ready)
-          s.entry.health = Health::Removed, s.told = now;
+        bool listed = false;
+        for (const Server& e : entries) listed |= e.id == id;
+        if (!listed && s.entry.health == Health::Ready)
+          s.entry.health = Health::Removed, s.notified_at = now;
       }
     for (const Server& e : entries) {
-      Known& s = servers_[e.id];
-      if (e.health != Health::Ready && s.entry.health == Health::Ready) s.told = now;
+      KnownServer& s = servers_[e.id];
+      if (e.health != Health::Ready && s.entry.health == Health::Ready) s.notified_at = now;
       s.entry = e;
     }
   }
 
   void request(Micros now, const Request& r) {
-    Owed o;
-    o.deadline = now + r.remaining;
-    for (const ClassSettings& c : set_.classes)
-      if (c.name == r.type) o.cls = c;
-    owed_[r.id] = o;
+    PendingResponse response;
+    response.deadline = now + r.remaining;
+    for (const ClassSettings& c : settings_.classes)
+      if (c.name == r.type) response.class_settings = c;
+    pending_responses_[r.id] = response;
   }
 
   void outcome(const Outcome& r) {
-    Owed& o = owed_[r.id];
-    Try& t = o.tries[r.attempt];
-    t.out = false;
-    t.never = r.status == Status::Overloaded || r.status == Status::ConnectFailed ||
-              r.status == Status::NotSent || r.status == Status::Miss;
-    if (r.finished) o.ended = true;
+    PendingResponse& response = pending_responses_[r.id];
+    Attempt& attempt = response.attempts[r.attempt];
+    attempt.out = false;
+    attempt.never_ran = r.status == Status::Overloaded || r.status == Status::ConnectFailed ||
+                        r.status == Status::NotSent || r.status == Status::Miss;
+    if (r.finished) response.ended = true;
   }
 
-  void gone(RequestId id) { owed_[id].ended = true; }
+  void disconnect(RequestId id) { pending_responses_[id].ended = true; }
 
   void actions(Micros now, const Actions& actions) {
     for (const Action& a : actions) {
       if (const Send* s = std::get_if<Send>(&a)) send(now, *s);
-      if (const Refuse* s = std::get_if<Refuse>(&a)) final(now, s->id, true);
-      if (const Fail* s = std::get_if<Fail>(&a)) final(now, s->id, false);
+      if (const Refuse* s = std::get_if<Refuse>(&a)) final_answer(now, s->id, true);
+      if (const Fail* s = std::get_if<Fail>(&a)) final_answer(now, s->id, false);
     }
   }
 
-  /// To be called as time passes: is any final answer overdue?
-  void clock(Micros now) {
-    for (auto& [id, o] : owed_)
-      if (!o.ended && now > o.deadline + set_.answer_slack) {
-        broke("1: no final answer for", id);
-        o.ended = true;
+  /// Checks for final answers that are overdue. To be called as time passes.
+  void advance(Micros now) {
+    for (auto& [id, response] : pending_responses_)
+      if (!response.ended && now > response.deadline + settings_.answer_slack) {
+        add_violation("1: no final answer for", id);
+        response.ended = true;
       }
   }
 
  private:
-  struct Try {
+  struct Attempt {
     std::string server;
     Micros sent = 0;
     bool out = true;
-    bool never = false;
+    bool never_ran = false;
   };
-  struct Owed {
-    ClassSettings cls;
+  struct PendingResponse {
+    ClassSettings class_settings;
     Micros deadline = 0;
     bool ended = false;
-    std::vector<Try> tries;
+    std::vector<Attempt> attempts;
   };
-  struct Known {
+  struct KnownServer {
     Server entry;
-    Micros told = 0;
-    std::vector<Micros> cold_sends;
+    Micros notified_at = 0;
+    std::vector<Micros> slow_start_sends;
   };
 
-  void broke(const std::string& what, RequestId id) {
-    breaks_.push_back("rule " + what + " " + std::to_string(id));
+  void add_violation(const std::string& what, RequestId id) {
+    violations_.push_back("rule " + what + " " + std::to_string(id));
   }
 
-  void final(Micros now, RequestId id, bool refusal) {
-    Owed& o = owed_[id];
-    if (o.ended) broke("1: a second final answer for", id);
-    if (now > o.deadline + set_.answer_slack) broke("1: late answer for", id);
-    o.ended = true;
-    if (!refusal || o.cls.effect == Effect::Repeatable) return;
-    for (const Try& t : o.tries)
-      if (!t.never && !(o.cls.effect == Effect::Keyed && o.cls.group == Group::All))
-        broke("2: refused though it may have run", id);
+  void final_answer(Micros now, RequestId id, bool refusal) {
+    PendingResponse& response = pending_responses_[id];
+    if (response.ended) add_violation("1: a second final answer for", id);
+    if (now > response.deadline + settings_.answer_slack) add_violation("1: late answer for", id);
+    response.ended = true;
+    if (!refusal || response.class_settings.effect == Effect::Repeatable) return;
+    for (const Attempt& attempt : response.attempts)
+      if (!attempt.never_ran && !(response.class_settings.effect == Effect::Keyed &&
+                                  response.class_settings.group == Group::All))
+        add_violation("2: refused though it may have run", id);
   }
 
   void send(Micros now, const Send& s) {
-    Owed& o = owed_[s.id];
-    Known& to = servers_[s.server];
-    if (o.ended) broke("1: sent after the end", s.id);
-    for (const Try& t : o.tries) {
-      if (t.out && !set_.may_hedge) broke("2: two copies out", s.id);
-      if (t.never || o.cls.effect == Effect::Repeatable) continue;
-      const Server& from = servers_[t.server].entry;
-      bool same = o.cls.group == Group::All ||
-                  (o.cls.group == Group::Zone && from.zone == to.entry.zone) ||
-                  (o.cls.group == Group::Cell && from.cell >= 0 && from.cell == to.entry.cell);
-      if (o.cls.effect == Effect::Once)
-        broke("2: repeated", s.id);
-      else if (!same)
-        broke("2: repeated outside its group", s.id);
-      else if (now > t.sent + o.cls.key_ttl)
-        broke("2: repeated past its time to live", s.id);
+    PendingResponse& response = pending_responses_[s.id];
+    KnownServer& target = servers_[s.server];
+    if (response.ended) add_violation("1: sent after the end", s.id);
+    for (const Attempt& attempt : response.attempts) {
+      if (attempt.out && !settings_.may_hedge) add_violation("2: two attempts out", s.id);
+      if (attempt.never_ran || response.class_settings.effect == Effect::Repeatable) continue;
+      const Server& previous = servers_[attempt.server].entry;
+      bool same_group =
+          response.class_settings.group == Group::All ||
+          (response.class_settings.group == Group::Zone && previous.zone == target.entry.zone) ||
+          (response.class_settings.group == Group::Cell && previous.cell >= 0 &&
+           previous.cell == target.entry.cell);
+      if (response.class_settings.effect == Effect::Once)
+        add_violation("2: repeated", s.id);
+      else if (!same_group)
+        add_violation("2: repeated outside its group", s.id);
+      else if (now > attempt.sent + response.class_settings.key_ttl)
+        add_violation("2: repeated after its key expired", s.id);
     }
-    if (to.entry.health != Health::Ready && now > to.told + set_.drain_grace)
-      broke("3: sent to a leaving server", s.id);
-    Micros age = now - to.entry.up_since;
-    if (to.entry.up_since > 0 && age < set_.slow_start_window) {
-      to.cold_sends.push_back(now);
+    if (target.entry.health != Health::Ready && now > target.notified_at + settings_.drain_grace)
+      add_violation("3: sent to a draining server", s.id);
+    Micros age = now - target.entry.up_since;
+    if (target.entry.up_since > 0 && age < settings_.slow_start_window) {
+      target.slow_start_sends.push_back(now);
       double count = 0;
-      for (Micros at : to.cold_sends)
-        count += at > now - set_.overload_window && at >= to.entry.up_since;
-      double part = set_.slow_start_min_fraction + (1 - set_.slow_start_min_fraction) *
-                                                       double(age) / double(set_.slow_start_window);
-      double window = double(set_.overload_window) / 1e6;
-      if (count > set_.overload_factor * part * capacity_ * window + 2)
-        broke("4: a cold server was pushed over by", s.id);
+      for (Micros at : target.slow_start_sends)
+        count += at > now - settings_.overload_window && at >= target.entry.up_since;
+      double part = settings_.slow_start_min_fraction + (1 - settings_.slow_start_min_fraction) *
+                                                            double(age) /
+                                                            double(settings_.slow_start_window);
+      double window = double(settings_.overload_window) / 1e6;
+      if (count > settings_.overload_factor * part * capacity_ * window + 2)
+        add_violation("4: a server in slow start was overloaded by", s.id);
     }
-    o.tries.push_back({s.server, now});
+    response.attempts.push_back({s.server, now});
   }
 
-  Settings set_;
+  Settings settings_;
   double capacity_;
-  std::map<std::string, Known> servers_;
-  std::map<RequestId, Owed> owed_;
-  std::vector<std::string> breaks_;
+  std::map<std::string, KnownServer> servers_;
+  std::map<RequestId, PendingResponse> pending_responses_;
+  std::vector<std::string> violations_;
 };
 
 }  // namespace violetusher::test
--- a/tests/policy/support.hpp
+++ b/tests/policy/support.hpp
@@ -1,3 +1,4 @@
+// Settings, requests and outcomes for tests of the Balancer.
 #pragma once
 
 #include <string>
@@ -50,7 +51,7 @@
   return list;
 }
 
-inline Request read_of(RequestId id, const std::string& key, Micros remaining = 500 * kMs) {
+inline Request make_read(RequestId id, const std::string& key, Micros remaining = 500 * kMs) {
   Request r;
   r.id = id;
   r.type = "read";
@@ -59,22 +60,23 @@
   return r;
 }
 
+/// The actions of one type.
 template <typename T>
-std::vector<T> all(const Actions& actions) {
+std::vector<T> actions_of(const Actions& actions) {
   std::vector<T> found;
   for (const Action& a : actions)
     if (const T* one = std::get_if<T>(&a)) found.push_back(*one);
   return found;
 }
 
-/// The server a request was sent to, or "".
+/// The server to which a request was sent, or "".
 inline std::string sent_to(const Actions& actions) {
-  auto sends = all<Send>(actions);
+  auto sends = actions_of<Send>(actions);
   return sends.empty() ? "" : sends.front().server;
 }
 
-inline Outcome ended(RequestId id, const std::string& server, Status status, int attempt = 0,
-                     Micros latency = 20 * kMs) {
+inline Outcome make_outcome(RequestId id, const std::string& server, Status status, int attempt = 0,
+                            Micros latency = 20 * kMs) {
   Outcome o;
   o.id = id;
   o.server = server;
@@ -85,21 +87,21 @@
   return o;
 }
 
-/// Sends one request and answers it at once with `status`; returns the server, or "" when refused.
+/// Sends one request and answers it at once with `status`. Returns the server, or "" if refused.
 inline std::string serve(Balancer& b, Micros now, RequestId id, const std::string& key,
                          Status status = Status::Ok) {
-  std::string server = sent_to(b.on_request(now, read_of(id, key)));
-  if (!server.empty()) b.on_outcome(now, ended(id, server, status));
+  std::string server = sent_to(b.on_request(now, make_read(id, key)));
+  if (!server.empty()) b.on_outcome(now, make_outcome(id, server, status));
   return server;
 }
 
-/// Sends one request and answers each attempt, further ones too, with `status`; how many there
-/// were.
-inline int exhaust(Balancer& b, Micros now, RequestId id, const std::string& key, Status status) {
+/// Sends one request and ends each of its attempts with `status`. Returns the number of attempts.
+inline int fail_all_attempts(Balancer& b, Micros now, RequestId id, const std::string& key,
+                             Status status) {
   int attempts = 0;
-  std::string server = sent_to(b.on_request(now, read_of(id, key)));
+  std::string server = sent_to(b.on_request(now, make_read(id, key)));
   for (; !server.empty(); ++attempts)
-    server = sent_to(b.on_outcome(now, ended(id, server, status, attempts)));
+    server = sent_to(b.on_outcome(now, make_outcome(id, server, status, attempts)));
   return attempts;
 }
 
