--- a/include/violetusher/balancer.hpp
+++ b/include/violetusher/balancer.hpp
@@ -256,14 +256,20 @@
 
   /// Call once. Returns the initial actions (the timer of the first list request).
   const Actions& start(Micros now);
+  /// A host list or changes to it arrived, or a Watch or Fetch failed.
   const Actions& on_list(Micros now, ListScope scope, const std::vector<Server>& entries);
+  /// A client's request arrived.
   const Actions& on_request(Micros now, const Request& request);
+  /// A streamed response started to arrive.
   const Actions& on_response_start(Micros now, RequestId id, const std::string& server, int attempt,
                                    Micros latency);
+  /// An attempt ended.
   const Actions& on_outcome(Micros now, const Outcome& outcome);
   /// The client disconnected: the request needs no answer any more.
   const Actions& on_client_disconnect(Micros now, RequestId id);
+  /// A Timer expired.
   const Actions& on_timer(Micros now, std::uint64_t token);
+  /// A Probe ended.
   const Actions& on_probe(Micros now, const std::string& server, Status status, Micros latency,
                           const Report& report);
 
--- a/src/policy/rules.cpp
+++ b/src/policy/rules.cpp
@@ -279,8 +279,8 @@
   /// The progress of a key's walk over its replicas.
   struct SavedSeed {
     std::uint64_t seed = 0;  // of the last selection
-    int selections = 0;      // selections since the walk started at the key's hash
-    int first_server = -1;   // the server of the first of them
+    int selections = 0;      // since the walk started at the key's hash
+    int first_server = -1;   // the first server selected since then
     double count = 0;        // requests for the key, decaying with this router's requests
     double counted_at = 0;   // the value of `requests_sent` at the last update of `count`
   };
@@ -679,8 +679,8 @@
     server.failure_score += weight;
     server.failure_score_at = now;
     if (server.failure_score < kEjectionFailureScore || now < server.ejected_until) return;
-    // In multiples of the request interval: the ejection would otherwise end before the next
-    // request to the server.
+    // At least a few request intervals, as the ejection would otherwise end before the next request
+    // to the server.
     auto interval = static_cast<Micros>(std::min(request_interval(), 8.0 * kSecond));
     Micros ejection_time = std::min(std::max(kMaxEjectionTime, 4 * interval),
                                     std::max(kBaseEjectionTime, 2 * interval)
@@ -689,8 +689,8 @@
         now + static_cast<Micros>(static_cast<double>(ejection_time) * (0.75 + 0.5 * random()));
     server.recovery_start = server.ejected_until;
     server.consecutive_ejections = std::min(server.consecutive_ejections + 1, 8);
-    server.failure_score =
-        kEjectionFailureScore - 1;  // one failure in the recovery ejects it again
+    // One failure in the recovery ejects the server again.
+    server.failure_score = kEjectionFailureScore - 1;
     refreshed_at = -1;
   }
 
@@ -926,8 +926,8 @@
     return deadline;
   }
 
-  /// Whether one more attempt at the server is safe to repeat there, within the limit of attempts,
-  /// and not to a draining or removed server.
+  /// Whether one more attempt may go to the server: it is neither draining nor removed, attempts
+  /// are left, and a repeat there is safe.
   bool may_send(const OpenRequest& open, int index) const {
     const ServerState& target = servers[index];
     if (!usable(target) || static_cast<int>(open.attempts.size()) >= config.max_attempts)
--- a/tests/policy/fleet_test.cpp
+++ b/tests/policy/fleet_test.cpp
@@ -162,12 +162,12 @@
   Tier tier(99, 60, 0.12);
   auto calm = simulate(tier, [](const std::string&) { return Status::Ok; });
   calm.run(0, 4);
-  auto unreachable = [](const std::string& server) { return std::stoi(server.substr(7)) < 15; };
+  auto hangs = [](const std::string& server) { return std::stoi(server.substr(7)) < 15; };
   auto partial = simulate(tier, [&](const std::string& server) {
-    return unreachable(server) ? std::optional<Status>() : Status::Ok;
+    return hangs(server) ? std::optional<Status>() : Status::Ok;
   });
   partial.run(4 * kS, 8);
-  // A quarter of the servers of each zone is unreachable, so no zone is healthier than another.
+  // A quarter of the servers of each zone hangs, so no zone is healthier than another.
   int local = 0, sent = 0;
   RequestId id = 1;
   for (std::size_t r = 0; r < tier.all.size(); ++r)
