--- a/src/net/client_side.cpp
+++ b/src/net/client_side.cpp
@@ -11,20 +11,20 @@
 
 namespace {
 
-constexpr Micros kSweep = kSecond / 20;
+constexpr Micros kSweepInterval = kSecond / 20;
 // As many as may wait at a listener that goes.
-constexpr int kBacklog = 4096;
+constexpr int kMaxBacklog = 4096;
 
 }  // namespace
 
-ClientSide::ClientSide(Io& io, Handler& handler, Limits limits, core::InvariantChecker* guard)
+ClientSide::ClientSide(Io& io, Handler& handler, Limits limits, core::InvariantChecker* invariants)
     : io_(io),
       handler_(handler),
       limits_(limits),
-      guard_(guard),
+      invariants_(invariants),
       sweep_alarm_(io.alarm([this] { sweep(); })),
-      scratch_(std::make_unique<char[]>(kScratch)) {
-  sweep_alarm_->set(kSweep);
+      read_buffer_(std::make_unique<char[]>(kReadBufferBytes)) {
+  sweep_alarm_->set(kSweepInterval);
 }
 
 ClientSide::~ClientSide() = default;
@@ -44,32 +44,32 @@
 
 bool ClientSide::update_listeners(const std::map<std::string, std::string>& addresses,
                                   std::string& error) {
-  std::vector<std::unique_ptr<Listener>> fresh;
-  auto same = [](const Listener& l, const auto& wanted) {
-    return !l.retiring && l.name == wanted.first && l.address == wanted.second;
+  std::vector<std::unique_ptr<Listener>> added;
+  auto same = [](const Listener& l, const auto& requested) {
+    return !l.draining && l.name == requested.first && l.address == requested.second;
   };
-  for (const auto& wanted : addresses) {
+  for (const auto& requested : addresses) {
     if (std::any_of(listeners_.begin(), listeners_.end(),
-                    [&](const auto& l) { return same(*l, wanted); }))
+                    [&](const auto& l) { return same(*l, requested); }))
       continue;
     auto listener = std::make_unique<Listener>(*this);
-    listener->name = wanted.first;
-    listener->address = wanted.second;
-    auto address = parse_address(wanted.second, true);
+    listener->name = requested.first;
+    listener->address = requested.second;
+    auto address = parse_address(requested.second, true);
     if (address) listener->socket = io_.listen(*address, error);
     if (!listener->socket) {
-      error = "listener '" + wanted.first + "', " + wanted.second + ": " +
+      error = "listener '" + requested.first + "', " + requested.second + ": " +
               (address ? error : std::string("no address"));
       return false;
     }
-    fresh.push_back(std::move(listener));
+    added.push_back(std::move(listener));
   }
   for (auto& l : listeners_)
-    l->retiring |=
-        !l->name.empty() && std::none_of(addresses.begin(), addresses.end(),
-                                         [&](const auto& wanted) { return same(*l, wanted); });
-  drop_retired();
-  for (auto& listener : fresh) start_accepting(std::move(listener));
+    l->draining |= !l->name.empty() &&
+                   std::none_of(addresses.begin(), addresses.end(),
+                                [&](const auto& requested) { return same(*l, requested); });
+  close_drained_listeners();
+  for (auto& listener : added) start_accepting(std::move(listener));
   return true;
 }
 
@@ -83,7 +83,7 @@
 
 std::uint16_t ClientSide::port(const std::string& name) const {
   for (const auto& l : listeners_)
-    if (l->name == name && !l->retiring) return io_.port(l->socket.number());
+    if (l->name == name && !l->draining) return io_.port(l->socket.number());
   return 0;
 }
 
@@ -93,11 +93,11 @@
   for (auto& l : listeners_) l->watch->read(!pause);
 }
 
-bool ClientSide::accept_some(Listener& listener, int most) {
-  while (most-- > 0) {
+bool ClientSide::accept_pending(Listener& listener, int max_accepts) {
+  while (max_accepts-- > 0) {
     // Those that have said nothing have a third of the places: a crowd of them pushes out its own,
     // not the clients that ask.
-    if (silent_ >= limits_.connections / 3) evict_silent();
+    if (without_command_ >= limits_.connections / 3) evict_without_command();
     if (connections_.size() >= limits_.connections && !evict() &&
         connections_.size() >= limits_.connections + limits_.spare_connections) {
       pause_accepting(true);
@@ -121,7 +121,7 @@
     connections_.push_back(std::make_unique<ClientConnection>(*this, std::move(socket), over));
     connections_.back()->index_ = connections_.size() - 1;
     connections_.back()->listener_ = listener.name;
-    ++silent_;
+    ++without_command_;
   }
   return false;
 }
@@ -138,73 +138,75 @@
     close(*oldest, CloseReason::kEvicted);
     return true;
   }
-  if (end_resting([](const ClientConnection&) { return true; })) return true;
+  if (evict_idle([](const ClientConnection&) { return true; })) return true;
   for (auto& c : connections_)
-    if (c->vacant() && c->in_command() && (!oldest || c->since_ < oldest->since_)) oldest = c.get();
+    if (c->quiescent() && c->in_command() && (!oldest || c->since_ < oldest->since_))
+      oldest = c.get();
   if (oldest) close(*oldest, CloseReason::kEvicted);
   return oldest != nullptr;
 }
 
-bool ClientSide::evict_silent() {
-  return end_resting([](const ClientConnection& c) { return !c.spoken_; });
+bool ClientSide::evict_without_command() {
+  return evict_idle([](const ClientConnection& c) { return !c.command_received_; });
 }
 
 /// Ends the connection that has rested for longest of those that may end: a planned end, so that a
 /// request that has come on it in this very moment is taken, and another one ended. False where
 /// there is none.
-bool ClientSide::end_resting(const std::function<bool(const ClientConnection&)>& may_end) {
-  std::vector<ClientConnection*> resting;
+bool ClientSide::evict_idle(const std::function<bool(const ClientConnection&)>& may_evict) {
+  std::vector<ClientConnection*> idle;
   for (auto& c : connections_)
-    if (c->vacant() && !c->lingering_ && may_end(*c)) resting.push_back(c.get());
-  std::sort(resting.begin(), resting.end(),
-            [](const auto* a, const auto* b) { return a->used_at_ < b->used_at_; });
-  if (core::mutant(core::Mutant::kEvictAtAnyShortage) && !resting.empty()) {
-    close(*resting.front(), CloseReason::kEvicted);
+    if (c->quiescent() && !c->lingering_ && may_evict(*c)) idle.push_back(c.get());
+  std::sort(idle.begin(), idle.end(),
+            [](const auto* a, const auto* b) { return a->last_active_at_ < b->last_active_at_; });
+  if (core::mutant(core::Mutant::kEvictAtAnyShortage) && !idle.empty()) {
+    close(*idle.front(), CloseReason::kEvicted);
     return true;
   }
-  for (ClientConnection* c : resting)
-    if (c->end_resting(CloseReason::kEvicted)) return true;
+  for (ClientConnection* c : idle)
+    if (c->close_idle(CloseReason::kEvicted)) return true;
   return false;
 }
 
 /// Bounds what slow readers and writers of long values make the router hold, whichever way they go
 /// about it: the connection that holds most is closed first. It hurts a client with large answers
 /// on a slow line when many others are slow as well.
-void ClientSide::bound_buffers() {
+void ClientSide::enforce_buffer_limit() {
   while (buffered_ > limits_.buffer_bytes) {
-    ClientConnection* most = nullptr;
+    ClientConnection* largest = nullptr;
     for (auto& c : connections_)
-      if (!most || c->accounted_ > most->accounted_) most = c.get();
-    if (!most) return;
-    close(*most, CloseReason::kBufferLimit);
+      if (!largest || c->counted_bytes_ > largest->counted_bytes_) largest = c.get();
+    if (!largest) return;
+    close(*largest, CloseReason::kBufferLimit);
   }
 }
 
 void ClientSide::sweep() {
-  sweep_alarm_->set(kSweep);
+  sweep_alarm_->set(kSweepInterval);
   Micros now = io_.now();
   for (std::size_t k = connections_.size(); k-- > 0;) {  // from the end: closing moves the last one
     if (k >= connections_.size()) continue;
-    connections_[k]->look_for_end();  // which may close it, and take others along
+    connections_[k]->poll_for_close();  // which may close it, and take others along
     if (k >= connections_.size()) continue;
-    if (connections_[k]->overdue(now))
-      connections_[k]->end_overdue();
+    if (connections_[k]->timed_out(now))
+      connections_[k]->close_timed_out();
     else if (draining_)
-      touch(*connections_[k]);  // its time for a first command may have run out
+      mark_dirty(*connections_[k]);  // its time for a first command may have run out
   }
   if (accept_paused_) pause_accepting(false);
-  drop_retired();
+  close_drained_listeners();
 }
 
 /// Lets listeners go that are not wanted any more, once what waits there is taken: an accept that
 /// fails for now says nothing of that.
-void ClientSide::drop_retired() {
+void ClientSide::close_drained_listeners() {
   // Apart: making room for what is accepted looks at all listeners.
-  for (auto& l : listeners_) l->emptied = l->retiring && (l->shared || accept_some(*l, kBacklog));
-  std::erase_if(listeners_, [](const auto& l) { return l->emptied; });
+  for (auto& l : listeners_)
+    l->drained = l->draining && (l->shared || accept_pending(*l, kMaxBacklog));
+  std::erase_if(listeners_, [](const auto& l) { return l->drained; });
 }
 
-void ClientSide::touch(ClientConnection& c) {
+void ClientSide::mark_dirty(ClientConnection& c) {
   if (c.dirty_ || c.closed_) return;
   c.dirty_ = true;
   dirty_.push_back(&c);
@@ -213,17 +215,17 @@
 void ClientSide::close(ClientConnection& c, CloseReason reason) {
   if (c.closed_) return;
   c.closed_ = true;
-  if (guard_) {
-    RequestId owed = 0;
-    for (const ClientSlot& slot : c.slots_)
-      if (slot.id && !slot.done) owed = slot.id;
-    guard_->on_close(reason, owed ? 1 : 0, owed);
+  if (invariants_) {
+    RequestId unanswered = 0;
+    for (const ResponseSlot& slot : c.slots_)
+      if (slot.id && !slot.done) unanswered = slot.id;
+    invariants_->on_close(reason, unanswered ? 1 : 0, unanswered);
   }
-  for (ClientSlot& slot : c.slots_)
-    if (slot.id && !slot.done) handler_.on_gone(slot.id);
+  for (ResponseSlot& slot : c.slots_)
+    if (slot.id && !slot.done) handler_.on_client_disconnected(slot.id);
   c.slots_.clear();
-  if (!c.spoken_) --silent_;
-  c.account();
+  if (!c.command_received_) --without_command_;
+  c.update_buffered();
   c.watch_.reset();
   c.socket_.reset();
   std::size_t at = c.index_;
@@ -236,64 +238,65 @@
   if (accept_paused_) pause_accepting(false);
 }
 
-void ClientSide::answer(Owed&& owed, const std::string& id, const Reply& reply) {
-  ClientSlot* slot = std::exchange(owed.slot_, nullptr);
+void ClientSide::respond(PendingResponse&& response, const std::string& id, const Reply& reply) {
+  ResponseSlot* slot = std::exchange(response.slot_, nullptr);
   if (!slot) return;
   ClientConnection& c = *slot->connection;
-  if (reply.kind == Reply::Kind::Bad) c.broken_ = true;
+  if (reply.kind == Reply::Kind::Bad) c.protocol_error_ = true;
   protocol::append_reply(slot->text, id, reply);
-  c.ready_ += slot->text.size();
+  c.slot_bytes_ += slot->text.size();
   slot->done = true;
-  touch(c);
+  mark_dirty(c);
 }
 
-void ClientSide::begin(Owed& owed, const std::string& id, std::size_t length) {
-  if (!owed) return;
-  ClientSlot& slot = *owed.slot_;
+void ClientSide::begin_stream(PendingResponse& response, const std::string& id,
+                              std::size_t length) {
+  if (!response) return;
+  ResponseSlot& slot = *response.slot_;
   protocol::append_value_head(slot.text, id, length);
-  slot.connection->ready_ += slot.text.size();
-  touch(*slot.connection);
+  slot.connection->slot_bytes_ += slot.text.size();
+  mark_dirty(*slot.connection);
 }
 
-bool ClientSide::pass(Owed& owed, std::string_view piece) {
-  if (!owed) return true;
-  ClientSlot& slot = *owed.slot_;
+bool ClientSide::stream(PendingResponse& response, std::string_view piece) {
+  if (!response) return true;
+  ResponseSlot& slot = *response.slot_;
   ClientConnection& c = *slot.connection;
   slot.text += piece;
-  c.ready_ += piece.size();
-  c.account();
-  touch(c);
+  c.slot_bytes_ += piece.size();
+  c.update_buffered();
+  mark_dirty(c);
   // What comes out of turn waits for the answers before it. And many slow readers at once get
   // smaller buffers: the bound on all must not cost any its answer.
   bool in_turn = &slot == &c.slots_.front();
-  std::size_t held = slot.text.size() + (in_turn ? c.unsent() : 0);
+  std::size_t buffered = slot.text.size() + (in_turn ? c.unsent() : 0);
   bool small = !in_turn || buffered_ >= limits_.buffer_bytes / 2;
-  bool much = held >= (small ? kOutLow : kOutHigh);
-  slot.held_back |= much;
-  return !much;
+  bool full = buffered >= (small ? kOutputLowWatermark : kOutputHighWatermark);
+  slot.backpressured |= full;
+  return !full;
 }
 
-void ClientSide::end(Owed&& owed) {
-  ClientSlot* slot = std::exchange(owed.slot_, nullptr);
+void ClientSide::end_stream(PendingResponse&& response) {
+  ResponseSlot* slot = std::exchange(response.slot_, nullptr);
   if (!slot) return;
   slot->text += "\r\n";
-  slot->connection->ready_ += 2;
+  slot->connection->slot_bytes_ += 2;
   slot->done = true;
-  touch(*slot->connection);
+  mark_dirty(*slot->connection);
 }
 
-void ClientSide::abort(Owed&& owed) {
-  ClientSlot* slot = std::exchange(owed.slot_, nullptr);
+void ClientSide::abort_stream(PendingResponse&& response) {
+  ResponseSlot* slot = std::exchange(response.slot_, nullptr);
   if (!slot) return;
   slot->id = 0;  // who calls knows of its end
   close(*slot->connection, CloseReason::kValueTruncated);
 }
 
-void ClientSide::say(ClientSlot& slot, std::string_view text) {
+void ClientSide::respond_raw(ResponseSlot& slot, std::string_view text) {
   slot.text = text;
-  slot.connection->ready_ += text.size();
+  slot.connection->slot_bytes_ += text.size();
   slot.done = true;
-  touch(*slot.connection);
+  mark_dirty(*slot.connection);
 }
 
 void ClientSide::flush() {
@@ -304,21 +307,21 @@
     if (!c->closed_) c->flush();
   }
   dirty_.clear();
-  bound_buffers();
+  enforce_buffer_limit();
   closed_.clear();
 }
 
 void ClientSide::drain() {
-  for (auto& l : listeners_) l->retiring = true;
-  drop_retired();
+  for (auto& l : listeners_) l->draining = true;
+  close_drained_listeners();
   if (draining_) return;
   draining_ = true;
-  for (auto& c : connections_) touch(*c);
+  for (auto& c : connections_) mark_dirty(*c);
 }
 
-void ClientSide::end_all() {
-  ending_ = true;
-  for (auto& c : connections_) touch(*c);
+void ClientSide::close_all() {
+  closing_all_ = true;
+  for (auto& c : connections_) mark_dirty(*c);
 }
 
 }  // namespace violetusher::net
--- a/src/net/client_side.hpp
+++ b/src/net/client_side.hpp
@@ -25,33 +25,33 @@
 
 /// The place of one command among the answers of its connection. The connection owns it; it is
 /// gone with the connection (Handler::on_gone) and once it is answered.
-struct ClientSlot {
+struct ResponseSlot {
   ClientConnection* connection = nullptr;
   RequestId id = 0;
-  std::string text;        ///< the answer, while those before it are not whole
-  bool done = false;       ///< the whole answer is in `text` or written
-  bool held_back = false;  ///< its long value waits until the client has read some
+  std::string text;            ///< the answer, while those before it are not whole
+  bool done = false;           ///< the whole answer is in `text` or written
+  bool backpressured = false;  ///< its long value waits until the client has read some
 };
 
 /// The one final answer that a client waits for. Whoever holds it may give it, once: giving takes
 /// it away (ClientSide::answer), and it can't be copied. One that is empty was given, or nobody is
 /// left to get it.
-class Owed {
+class PendingResponse {
  public:
-  Owed() = default;
-  explicit Owed(ClientSlot& slot) : slot_(&slot) {}
-  Owed(Owed&& other) noexcept : slot_(std::exchange(other.slot_, nullptr)) {}
-  Owed& operator=(Owed&& other) noexcept {
+  PendingResponse() = default;
+  explicit PendingResponse(ResponseSlot& slot) : slot_(&slot) {}
+  PendingResponse(PendingResponse&& other) noexcept : slot_(std::exchange(other.slot_, nullptr)) {}
+  PendingResponse& operator=(PendingResponse&& other) noexcept {
     slot_ = std::exchange(other.slot_, nullptr);
     return *this;
   }
   explicit operator bool() const { return slot_ != nullptr; }
   /// The client is gone.
-  void lapse() { slot_ = nullptr; }
+  void abandon() { slot_ = nullptr; }
 
  private:
   friend class ClientSide;
-  ClientSlot* slot_ = nullptr;
+  ResponseSlot* slot_ = nullptr;
 };
 
 class ClientSide {
@@ -60,17 +60,17 @@
   class Handler {
    public:
     virtual ~Handler() = default;
-    /// A request was taken. The number that the handler gives it comes back with on_left() and
-    /// on_gone(); 0 where it is answered already.
-    virtual RequestId on_command(Owed owed, Command&& command) = 0;
+    /// A request was taken. The number that the handler gives it comes back with on_client_eof()
+    /// and on_gone(); 0 where it is answered already.
+    virtual RequestId on_command(PendingResponse response, Command&& command) = 0;
     /// A request was refused before it was taken, as its connection is one too many.
-    virtual void on_turned_away(const Command& command) = 0;
+    virtual void on_rejected(const Command& command) = 0;
     /// The client sends nothing more; whether it still reads can't be told from that.
-    virtual void on_left(RequestId id) = 0;
+    virtual void on_client_eof(RequestId id) = 0;
     /// The connection is closed and the slot with it.
-    virtual void on_gone(RequestId id) = 0;
+    virtual void on_client_disconnected(RequestId id) = 0;
     /// More of the request's long value may come.
-    virtual void on_drained(RequestId id) = 0;
+    virtual void on_buffer_drained(RequestId id) = 0;
   };
   struct Limits {
     std::size_t connections = 600;        ///< beyond, commands are refused as busy
@@ -79,7 +79,7 @@
   };
 
   /// `guard` outlives it.
-  ClientSide(Io& io, Handler& handler, Limits limits, core::InvariantChecker* guard = nullptr);
+  ClientSide(Io& io, Handler& handler, Limits limits, core::InvariantChecker* invariants = nullptr);
   ~ClientSide();
 
   /// Listens on `address`; false with the reason in `error`.
@@ -97,16 +97,16 @@
   /// Gives the whole final answer to the request whose client calls it `id`. One that says Bad
   /// closes the connection after it: who sends what can't be used may send any number at full
   /// speed, and a new connection each time slows it down.
-  void answer(Owed&& owed, const std::string& id, const Reply& reply);
+  void respond(PendingResponse&& response, const std::string& id, const Reply& reply);
 
   /// Gives the head of an answer whose value of `length` bytes follows by pass(). Whoever holds
   /// `owed` owes the rest, and gives it with end(), or cuts it off with abort().
-  void begin(Owed& owed, const std::string& id, std::size_t length);
-  /// Gives more of the value. False where no more should come until Handler::on_drained().
-  bool pass(Owed& owed, std::string_view piece);
-  void end(Owed&& owed);
+  void begin_stream(PendingResponse& response, const std::string& id, std::size_t length);
+  /// Gives more of the value. False where no more should come until Handler::on_buffer_drained().
+  bool stream(PendingResponse& response, std::string_view piece);
+  void end_stream(PendingResponse&& response);
   /// Closes the connection, so that the client can tell that the value is not whole.
-  void abort(Owed&& owed);
+  void abort_stream(PendingResponse&& response);
 
   /// Writes what answer() and the others have left. Call once an iteration of the loop.
   void flush();
@@ -119,7 +119,7 @@
   bool listens() const { return !listeners_.empty(); }
   /// The last moment of a planned end, with no request open: closes every connection after what is
   /// written to it, whatever its client has begun to send.
-  void end_all();
+  void close_all();
   std::size_t connections() const { return connections_.size(); }
   std::size_t buffered() const { return buffered_; }
 
@@ -127,53 +127,53 @@
   friend class ClientConnection;
   struct Listener final : Watch::Target {
     explicit Listener(ClientSide& of) : side(of) {}
-    void on_ready(unsigned) override { side.accept_some(*this, kAcceptMost); }
+    void on_ready(unsigned) override { side.accept_pending(*this, kMaxAcceptsPerEvent); }
     ClientSide& side;
     std::string name, address;  // both empty: the platform's
     bool shared = false;        // others accept from it too
-    bool retiring = false;      // goes once all that waits there is taken
-    bool emptied = false;       // which it is
+    bool draining = false;      // goes once all that waits there is taken
+    bool drained = false;       // which it is
     Socket socket;
     std::unique_ptr<Watch> watch;
   };
   bool start_accepting(std::unique_ptr<Listener> listener);
   /// Takes connections that wait, `most` of them; true once none waits.
-  bool accept_some(Listener& listener, int most);
+  bool accept_pending(Listener& listener, int max_accepts);
   void pause_accepting(bool pause);
-  void drop_retired();
+  void close_drained_listeners();
   bool evict();
-  bool evict_silent();
-  bool end_resting(const std::function<bool(const ClientConnection&)>& may_end);
-  void bound_buffers();
+  bool evict_without_command();
+  bool evict_idle(const std::function<bool(const ClientConnection&)>& may_evict);
+  void enforce_buffer_limit();
   void sweep();
-  void touch(ClientConnection& connection);
+  void mark_dirty(ClientConnection& connection);
   void close(ClientConnection& connection, core::CloseReason reason);
-  void say(ClientSlot& slot, std::string_view text);
+  void respond_raw(ResponseSlot& slot, std::string_view text);
 
   /// Read at once from one connection, so that a client that sends at full speed has no larger part
   /// of the loop than others.
-  static constexpr std::size_t kScratch = 16u << 10;
+  static constexpr std::size_t kReadBufferBytes = 16u << 10;
   /// Answer bytes that may wait for a slow reader before its commands are read no more.
-  static constexpr std::size_t kOutHigh = 128u << 10, kOutLow = 16u << 10;
+  static constexpr std::size_t kOutputHighWatermark = 128u << 10, kOutputLowWatermark = 16u << 10;
   /// Accepted in one go, so that those that are open are served in between.
-  static constexpr int kAcceptMost = 16;
+  static constexpr int kMaxAcceptsPerEvent = 16;
 
   Io& io_;
   Handler& handler_;
   Limits limits_;
-  core::InvariantChecker* guard_;
+  core::InvariantChecker* invariants_;
   std::vector<std::unique_ptr<Listener>> listeners_;
   std::unique_ptr<Alarm> sweep_alarm_;
   bool accept_paused_ = false;
-  bool draining_ = false, ending_ = false;
+  bool draining_ = false, closing_all_ = false;
   std::vector<std::unique_ptr<ClientConnection>> connections_;
   std::vector<std::unique_ptr<ClientConnection>> closed_;  // freed at the end of an iteration
   std::vector<ClientConnection*> dirty_;
-  std::size_t silent_ = 0;    // connections on which no whole command has come
-  std::size_t buffered_ = 0;  // bytes held for all connections
-  std::unique_ptr<char[]> scratch_;
-  Command command_;                    // the one being read
-  std::list<ClientSlot> spare_slots_;  // of answers that are written
+  std::size_t without_command_ = 0;  // connections on which no whole command has come
+  std::size_t buffered_ = 0;         // bytes held for all connections
+  std::unique_ptr<char[]> read_buffer_;
+  Command command_;                      // the one being read
+  std::list<ResponseSlot> spare_slots_;  // of answers that are written
 };
 
 }  // namespace violetusher::net
--- a/src/net/host_registry.cpp
+++ b/src/net/host_registry.cpp
@@ -4,11 +4,11 @@
 
 using violetusher::Health;
 
-void HostRegistry::keep(const HostList& told) {
-  version_ = told.version;
+void HostRegistry::store(const HostList& update) {
+  version_ = update.version;
   std::map<std::string, Host> before;
-  if (told.whole) before.swap(hosts_);
-  for (const Host& host : told.hosts) {
+  if (update.whole) before.swap(hosts_);
+  for (const Host& host : update.hosts) {
     const std::string& id = host.server.id;
     if (host.server.health != Health::Removed)
       hosts_[id] = host;
@@ -17,50 +17,50 @@
   }
   for (const auto& [id, host] : before) {
     if (hosts_.count(id)) continue;
-    if (left_.insert_or_assign(id, host.server.up_since).second) left_order_.push_back(id);
-    if (left_order_.size() <= kMostLeft) continue;
-    left_.erase(left_order_.front());
-    left_order_.pop_front();
+    if (removed_.insert_or_assign(id, host.server.up_since).second) removal_order_.push_back(id);
+    if (removal_order_.size() <= kMaxRemoved) continue;
+    removed_.erase(removal_order_.front());
+    removal_order_.pop_front();
   }
 }
 
 /// Whether the same process was told to leave before, or has left.
-bool HostRegistry::leaves(const Host& told) const {
-  if (auto it = hosts_.find(told.server.id); it != hosts_.end())
+bool HostRegistry::was_draining_or_removed(const Host& update) const {
+  if (auto it = hosts_.find(update.server.id); it != hosts_.end())
     return it->second.server.health != Health::Ready &&
-           it->second.server.up_since == told.server.up_since;
-  auto it = left_.find(told.server.id);
-  return it != left_.end() && it->second == told.server.up_since;
+           it->second.server.up_since == update.server.up_since;
+  auto it = removed_.find(update.server.id);
+  return it != removed_.end() && it->second == update.server.up_since;
 }
 
-Host HostRegistry::masked(Host host) const {
+Host HostRegistry::with_ban(Host host) const {
   if (host.server.health == Health::Ready && is_banned(host.server.id))
     host.server.health = Health::Draining;
   return host;
 }
 
-HostList HostRegistry::apply(HostList&& told, bool doubted) {
-  for (Host& host : told.hosts)
-    host.server.up_since = starts_.start_of(host.server.id, host.server.up_since);
-  if (told.whole) starts_.forget_unused();
-  if (doubted)
-    for (Host& host : told.hosts)
-      if (host.server.health == Health::Ready && leaves(host))
+HostList HostRegistry::apply(HostList&& update, bool possibly_stale) {
+  for (Host& host : update.hosts)
+    host.server.up_since = start_times_.start_of(host.server.id, host.server.up_since);
+  if (update.whole) start_times_.forget_unused();
+  if (possibly_stale)
+    for (Host& host : update.hosts)
+      if (host.server.health == Health::Ready && was_draining_or_removed(host))
         host.server.health = Health::Draining;
-  if (told.whole)
-    for (const std::string& id : told.unusable)
-      if (auto it = hosts_.find(id); it != hosts_.end()) told.hosts.push_back(it->second);
-  keep(told);
-  for (Host& host : told.hosts) host = masked(std::move(host));
-  return std::move(told);
+  if (update.whole)
+    for (const std::string& id : update.unusable)
+      if (auto it = hosts_.find(id); it != hosts_.end()) update.hosts.push_back(it->second);
+  store(update);
+  for (Host& host : update.hosts) host = with_ban(std::move(host));
+  return std::move(update);
 }
 
-HostList HostRegistry::set_banned(const std::string& id, bool out) {
+HostList HostRegistry::set_banned(const std::string& id, bool banned) {
   HostList change;
   change.version = version_;
-  bool changed = out ? out_.insert(id).second : out_.erase(id) > 0;
+  bool changed = banned ? banned_.insert(id).second : banned_.erase(id) > 0;
   auto it = hosts_.find(id);
-  if (changed && it != hosts_.end()) change.hosts.push_back(masked(it->second));
+  if (changed && it != hosts_.end()) change.hosts.push_back(with_ban(it->second));
   return change;
 }
 
--- a/src/net/host_registry.hpp
+++ b/src/net/host_registry.hpp
@@ -18,44 +18,44 @@
 
 class HostRegistry {
  public:
-  explicit HostRegistry(const HostList& known) { keep(known); }
+  explicit HostRegistry(const HostList& initial_hosts) { store(initial_hosts); }
 
   /// An answer of discovery came at `now`, with its own time `date` in it; see StartTimes.
-  void on_response(Micros now, Micros date) { starts_.on_response(now, date); }
+  void on_response(Micros now, Micros date) { start_times_.on_response(now, date); }
   /// Takes over what discovery tells and gives the list as the router is to take it. Entries that
   /// could not be used stay as they were. `doubted`: discovery may know less than what is held, so
   /// whoever was told to leave, or has left lately, stays so unless started anew.
-  HostList apply(HostList&& told, bool doubted = false);
+  HostList apply(HostList&& update, bool possibly_stale = false);
   /// Takes the server out, or puts it back. What the router is to hear of it; no hosts where
   /// nothing changes for it.
-  HostList set_banned(const std::string& id, bool out);
+  HostList set_banned(const std::string& id, bool banned);
 
-  bool is_banned(const std::string& id) const { return out_.count(id) > 0; }
+  bool is_banned(const std::string& id) const { return banned_.count(id) > 0; }
   /// Whether an operator can mean this one: it is listed, or was taken out before it left.
   bool known(const std::string& id) const { return hosts_.count(id) > 0 || is_banned(id); }
   std::size_t size() const { return hosts_.size(); }
   /// Of the list, as discovery named it; empty before the first.
   const std::string& version() const { return version_; }
-  const std::set<std::string>& banned_ids() const { return out_; }
+  const std::set<std::string>& banned_ids() const { return banned_; }
   /// Calls `f` with each listed server as the router is to take it.
   template <typename F>
   void each(F&& f) const {
-    for (const auto& [id, host] : hosts_) f(masked(host));
+    for (const auto& [id, host] : hosts_) f(with_ban(host));
   }
 
  private:
-  void keep(const HostList& told);
-  bool leaves(const Host& told) const;
-  Host masked(Host host) const;
+  void store(const HostList& update);
+  bool was_draining_or_removed(const Host& update) const;
+  Host with_ban(Host host) const;
 
   std::string version_;
   std::map<std::string, Host> hosts_;  // as told, those that have left not
-  std::set<std::string> out_;
-  core::membership::StartTimes starts_;
-  // Of those that have left, when they had started; the oldest is forgotten past kMostLeft.
-  static constexpr std::size_t kMostLeft = 4096;
-  std::unordered_map<std::string, Micros> left_;
-  std::deque<std::string> left_order_;
+  std::set<std::string> banned_;
+  core::membership::StartTimes start_times_;
+  // Of those that have left, when they had started; the oldest is forgotten past kMaxRemoved.
+  static constexpr std::size_t kMaxRemoved = 4096;
+  std::unordered_map<std::string, Micros> removed_;
+  std::deque<std::string> removal_order_;
 };
 
 }  // namespace violetusher::net
--- a/src/net/module_feed.hpp
+++ b/src/net/module_feed.hpp
@@ -19,12 +19,12 @@
   std::uint32_t module;
   violetusher::RequestId id;
 };
-struct GoneEvent {
+struct DisconnectEvent {
   std::uint32_t module;
   violetusher::RequestId id;
 };
 /// The first bytes of a long value have come.
-struct FirstEvent {
+struct StreamBeginEvent {
   std::uint32_t module;
   violetusher::RequestId id;
   std::string server;
@@ -43,8 +43,8 @@
   std::uint32_t module;
   std::uint64_t token;
 };
-using ModuleEvent = std::variant<StartEvent, RequestEvent, OutcomeEvent, GoneEvent, FirstEvent,
-                                 TimerEvent, ListEvent>;
+using ModuleEvent = std::variant<StartEvent, RequestEvent, OutcomeEvent, DisconnectEvent,
+                                 StreamBeginEvent, TimerEvent, ListEvent>;
 
 class ModuleFeed {
  public:
@@ -54,7 +54,7 @@
   }
   bool empty() const { return next_ == events_.size(); }
   /// Must not be empty. What was taken before is gone.
-  ModuleEvent& take() {
+  ModuleEvent& pop() {
     // Its memory is kept, so that a warm feed allocates nothing.
     current_ = std::move(events_[next_++]);
     if (empty()) {
--- a/src/net/pool_set.cpp
+++ b/src/net/pool_set.cpp
@@ -11,9 +11,10 @@
 
 // What a module costs at least with its tables; see docs/design/request-core.md.
 constexpr std::size_t kModuleBytes = 128u << 10;
-constexpr std::size_t kModulePart = 4;  // of the memory that the router may use
-constexpr Micros kIdle = 60 * kSecond;  // a module without requests is given back after this
-constexpr Micros kLook = kSecond;
+constexpr std::size_t kModuleMemoryDivisor = 4;  // of the memory that the router may use
+constexpr Micros kModuleIdleTimeout =
+    60 * kSecond;  // a module without requests is given back after this
+constexpr Micros kIdleCheckInterval = kSecond;
 
 std::vector<Server> servers_of(const HostList& list) {
   std::vector<Server> servers;
@@ -27,18 +28,19 @@
 PoolSet::PoolSet(const Config& config, Handler& handler, Micros now)
     : config_(config),
       handler_(handler),
-      most_(std::max<std::size_t>(4, config.memory_bytes / kModulePart / kModuleBytes)) {
-  make(kWhole, {}, {}, now);
-  handler_.on_module_list(kWhole, ListScope::Cached, servers_of(config.initial_hosts));
+      max_modules_(
+          std::max<std::size_t>(4, config.memory_bytes / kModuleMemoryDivisor / kModuleBytes)) {
+  create_module(kWholeList, {}, {}, now);
+  handler_.on_module_list(kWholeList, ListScope::Cached, servers_of(config.initial_hosts));
 }
 
 /// Each module draws from a seed of its own; that of the whole list from the router's.
-void PoolSet::make(std::uint32_t number, const std::string& name,
-                   const core::config::Selection& selection, Micros now) {
+void PoolSet::create_module(std::uint32_t number, const std::string& name,
+                            const core::config::Selection& selection, Micros now) {
   auto module = std::make_unique<Module>();
   module->pool = name;
   module->selection = selection;
-  module->used_at = now;
+  module->last_used_at = now;
   try {
     module->balancer = std::make_unique<violetusher::Balancer>(
         config_.settings, config_.seed + number * 0x9e3779b97f4a7c15ull, now);
@@ -50,17 +52,17 @@
 }
 
 const core::config::Pool* PoolSet::pool(const std::string& name) const {
-  if (!traffic_) return nullptr;
-  auto it = traffic_->model().pools.find(name);
-  return it == traffic_->model().pools.end() ? nullptr : &it->second;
+  if (!traffic_policy_) return nullptr;
+  auto it = traffic_policy_->model().pools.find(name);
+  return it == traffic_policy_->model().pools.end() ? nullptr : &it->second;
 }
 
-void PoolSet::operate(std::shared_ptr<const core::TrafficPolicy> traffic) {
-  if (!traffic_) hosts_ = config_.initial_hosts;
-  traffic_ = std::move(traffic);
-  addresses_.clear();
-  for (const auto& [name, pool] : traffic_->model().pools)
-    addresses_.insert(pool.servers.begin(), pool.servers.end());
+void PoolSet::set_traffic_policy(std::shared_ptr<const core::TrafficPolicy> traffic) {
+  if (!traffic_policy_) hosts_ = config_.initial_hosts;
+  traffic_policy_ = std::move(traffic);
+  pool_addresses_.clear();
+  for (const auto& [name, pool] : traffic_policy_->model().pools)
+    pool_addresses_.insert(pool.servers.begin(), pool.servers.end());
   for (auto it = by_pool_.begin(); it != by_pool_.end();) {
     Module& module = *modules_.at(it->second);
     const core::config::Pool* now = pool(it->first);
@@ -68,29 +70,29 @@
       ++it;
       continue;
     }
-    module.leaving = gone_ = true;
+    module.removed = any_removed_ = true;
     it = by_pool_.erase(it);
   }
 }
 
-std::optional<std::uint32_t> PoolSet::enter(const std::string& name, Micros now) {
+std::optional<std::uint32_t> PoolSet::begin_request(const std::string& name, Micros now) {
   auto it = by_pool_.find(name);
   if (it == by_pool_.end()) {
-    const core::config::Pool* wanted = pool(name);
-    if (!wanted) return std::nullopt;
-    if (modules_.size() >= most_) {
-      if (!give_back_idle(now, 0)) return std::nullopt;
-      erase_gone();
+    const core::config::Pool* configured = pool(name);
+    if (!configured) return std::nullopt;
+    if (modules_.size() >= max_modules_) {
+      if (!free_idle(now, 0)) return std::nullopt;
+      erase_removed();
     }
     std::uint32_t number = next_++;
-    make(number, name, *wanted, now);
+    create_module(number, name, *configured, now);
     it = by_pool_.emplace(name, number).first;
     Module& module = *modules_.at(number);
-    if (wanted->servers.empty()) {
-      tell(number, module, ListScope::Full, servers_of(hosts_));
+    if (configured->servers.empty()) {
+      send_list(number, module, ListScope::Full, servers_of(hosts_));
     } else {
       std::vector<Server> members;
-      for (const std::string& address : wanted->servers) {
+      for (const std::string& address : configured->servers) {
         Server server;
         server.id = address;
         server.zone = config_.settings.zone;
@@ -101,21 +103,21 @@
     }
   }
   Module& module = *modules_.at(it->second);
-  ++module.open;
-  module.used_at = now;
+  ++module.open_requests;
+  module.last_used_at = now;
   return it->second;
 }
 
-std::uint32_t PoolSet::enter_whole() {
-  ++modules_.at(kWhole)->open;
-  return kWhole;
+std::uint32_t PoolSet::begin_whole_list_request() {
+  ++modules_.at(kWholeList)->open_requests;
+  return kWholeList;
 }
 
-void PoolSet::leave(std::uint32_t number, Micros now) {
+void PoolSet::end_request(std::uint32_t number, Micros now) {
   Module* module = find(number);
   if (!module) return;
-  module->used_at = now;
-  if (--module->open == 0 && module->leaving) gone_ = true;
+  module->last_used_at = now;
+  if (--module->open_requests == 0 && module->removed) any_removed_ = true;
 }
 
 PoolSet::Module* PoolSet::find(std::uint32_t number) {
@@ -124,47 +126,47 @@
 }
 
 /// What of a list concerns a pool, told to its module. What left concerns all that had it.
-void PoolSet::tell(std::uint32_t number, Module& module, ListScope scope,
-                   const std::vector<Server>& servers) {
+void PoolSet::send_list(std::uint32_t number, Module& module, ListScope scope,
+                        const std::vector<Server>& servers) {
   if (!module.selection.servers.empty()) return;
   if (scope == ListScope::Full) module.members.clear();
-  std::vector<Server> mine;
+  std::vector<Server> relevant;
   for (const Server& server : servers) {
-    bool gone = server.health == Health::Removed;
-    if (gone ? module.members.count(server.id) == 0 : !core::selected(module.selection, server))
+    bool removed = server.health == Health::Removed;
+    if (removed ? module.members.count(server.id) == 0 : !core::selected(module.selection, server))
       continue;
-    if (gone)
+    if (removed)
       module.members.erase(server.id);
     else
       module.members[server.id] = server.health;
-    mine.push_back(server);
+    relevant.push_back(server);
   }
-  handler_.on_module_list(number, scope, std::move(mine));
+  handler_.on_module_list(number, scope, std::move(relevant));
 }
 
-HostList PoolSet::take(HostList&& list) {
+HostList PoolSet::apply_list(HostList&& list) {
   ListScope scope = list.whole ? ListScope::Full : ListScope::Delta;
   std::vector<Server> servers = servers_of(list);
   for (auto& [number, module] : modules_)
-    if (number != kWhole) tell(number, *module, scope, servers);
-  handler_.on_module_list(kWhole, scope, std::move(servers));
-  if (!traffic_) return std::move(list);
-  HostList for_links = with_addresses(list);
-  keep(std::move(list));
-  return for_links;
+    if (number != kWholeList) send_list(number, *module, scope, servers);
+  handler_.on_module_list(kWholeList, scope, std::move(servers));
+  if (!traffic_policy_) return std::move(list);
+  HostList for_connections = with_addresses(list);
+  store(std::move(list));
+  return for_connections;
 }
 
-void PoolSet::retune(const violetusher::Settings& settings) {
+void PoolSet::update_settings(const violetusher::Settings& settings) {
   for (auto& [number, module] : modules_) module->balancer->update_settings(settings);
 }
 
-void PoolSet::lists_failed() {
+void PoolSet::on_list_failure() {
   for (const auto& [number, module] : modules_)
     handler_.on_module_list(number, ListScope::Failed, {});
 }
 
 /// For modules that are made later.
-void PoolSet::keep(HostList&& list) {
+void PoolSet::store(HostList&& list) {
   if (list.whole) {
     hosts_ = std::move(list);
     return;
@@ -173,10 +175,10 @@
   for (Host& host : list.hosts) {
     auto old = std::find_if(hosts_.hosts.begin(), hosts_.hosts.end(),
                             [&](const Host& h) { return h.server.id == host.server.id; });
-    bool gone = host.server.health == Health::Removed;
+    bool removed = host.server.health == Health::Removed;
     if (old == hosts_.hosts.end()) {
-      if (!gone) hosts_.hosts.push_back(std::move(host));
-    } else if (gone) {
+      if (!removed) hosts_.hosts.push_back(std::move(host));
+    } else if (removed) {
       hosts_.hosts.erase(old);
     } else {
       *old = std::move(host);
@@ -186,15 +188,15 @@
 
 HostList PoolSet::with_addresses(HostList list) const {
   if (!list.whole) return list;
-  std::unordered_set<std::string> there;
-  for (const Host& host : list.hosts) there.insert(host.server.id);
+  std::unordered_set<std::string> listed;
+  for (const Host& host : list.hosts) listed.insert(host.server.id);
   auto add = [&](const std::string& address) {
-    if (!there.insert(address).second) return;
+    if (!listed.insert(address).second) return;
     Host host;
     host.server.id = host.dial = address;
     list.hosts.push_back(host);
   };
-  for (const std::string& address : addresses_) add(address);
+  for (const std::string& address : pool_addresses_) add(address);
   for (const auto& [number, module] : modules_)  // those that are leaving still need theirs
     for (const std::string& address : module->selection.servers) add(address);
   return list;
@@ -207,32 +209,32 @@
 }
 
 /// Gives back the module that has been without requests for longest, and for `idle_for` at least.
-bool PoolSet::give_back_idle(Micros now, Micros idle_for) {
+bool PoolSet::free_idle(Micros now, Micros idle_for) {
   auto oldest = modules_.end();
   for (auto it = modules_.begin(); it != modules_.end(); ++it)
-    if (it->first != kWhole && it->second->open == 0 && !it->second->leaving &&
-        now - it->second->used_at >= idle_for &&
-        (oldest == modules_.end() || it->second->used_at < oldest->second->used_at))
+    if (it->first != kWholeList && it->second->open_requests == 0 && !it->second->removed &&
+        now - it->second->last_used_at >= idle_for &&
+        (oldest == modules_.end() || it->second->last_used_at < oldest->second->last_used_at))
       oldest = it;
   if (oldest == modules_.end()) return false;
   by_pool_.erase(oldest->second->pool);
-  oldest->second->leaving = gone_ = true;
+  oldest->second->removed = any_removed_ = true;
   return true;
 }
 
-void PoolSet::free_gone(Micros now) {
-  if (now - looked_at_ >= kLook && modules_.size() > 1) {
-    looked_at_ = now;
-    while (give_back_idle(now, kIdle)) {
+void PoolSet::free_modules(Micros now) {
+  if (now - last_idle_check_ >= kIdleCheckInterval && modules_.size() > 1) {
+    last_idle_check_ = now;
+    while (free_idle(now, kModuleIdleTimeout)) {
     }
   }
-  if (gone_) erase_gone();
+  if (any_removed_) erase_removed();
 }
 
-void PoolSet::erase_gone() {
-  gone_ = false;
+void PoolSet::erase_removed() {
+  any_removed_ = false;
   for (auto it = modules_.begin(); it != modules_.end();)
-    it = it->second->leaving && it->second->open == 0 ? modules_.erase(it) : std::next(it);
+    it = it->second->removed && it->second->open_requests == 0 ? modules_.erase(it) : std::next(it);
 }
 
 bool PoolSet::has_live(const std::string& name) const {
@@ -241,18 +243,18 @@
     return std::any_of(members.begin(), members.end(),
                        [](const auto& m) { return m.second == Health::Ready; });
   }
-  const core::config::Pool* wanted = pool(name);
-  if (!wanted || !wanted->servers.empty()) return wanted != nullptr;
+  const core::config::Pool* configured = pool(name);
+  if (!configured || !configured->servers.empty()) return configured != nullptr;
   return std::any_of(hosts_.hosts.begin(), hosts_.hosts.end(), [&](const Host& host) {
-    return host.server.health == Health::Ready && core::selected(*wanted, host.server);
+    return host.server.health == Health::Ready && core::selected(*configured, host.server);
   });
 }
 
 /// Price caches of the discovery list drop one another's repeats where the class's group is all of
 /// them; fixed addresses are not known to belong to it.
 bool PoolSet::shares_deduplication(const std::string& name) const {
-  const core::config::Pool* wanted = pool(name);
-  if (!wanted || !wanted->servers.empty()) return false;
+  const core::config::Pool* configured = pool(name);
+  if (!configured || !configured->servers.empty()) return false;
   for (const auto& c : config_.settings.classes)
     if (c.effect == violetusher::Effect::Keyed && c.group != violetusher::Group::All) return false;
   return true;
--- a/src/net/recycled_queue.hpp
+++ b/src/net/recycled_queue.hpp
@@ -14,8 +14,8 @@
   bool empty() const { return size_ == 0; }
   std::size_t size() const { return size_; }
   /// In the order in which they came. `k` must be below size().
-  T& operator[](std::size_t k) { return items_[place(k)]; }
-  const T& operator[](std::size_t k) const { return items_[place(k)]; }
+  T& operator[](std::size_t k) { return items_[slot_of(k)]; }
+  const T& operator[](std::size_t k) const { return items_[slot_of(k)]; }
   T& front() { return (*this)[0]; }
   const T& front() const { return (*this)[0]; }
   T& back() { return (*this)[size_ - 1]; }
@@ -28,7 +28,7 @@
     return back();
   }
   void pop_front() {
-    head_ = place(1);
+    head_ = slot_of(1);
     --size_;
   }
   void pop_back() { --size_; }
@@ -40,16 +40,16 @@
   void clear() { head_ = size_ = 0; }
 
  private:
-  std::size_t place(std::size_t k) const {
+  std::size_t slot_of(std::size_t k) const {
     std::size_t at = head_ + k;
     return at < items_.size() ? at : at - items_.size();
   }
   void grow() {
-    std::vector<T> wider;
-    wider.reserve(items_.empty() ? 2 : 2 * items_.size());
-    for (std::size_t k = 0; k < size_; ++k) wider.push_back(std::move((*this)[k]));
-    wider.resize(wider.capacity());
-    items_ = std::move(wider);
+    std::vector<T> larger;
+    larger.reserve(items_.empty() ? 2 : 2 * items_.size());
+    for (std::size_t k = 0; k < size_; ++k) larger.push_back(std::move((*this)[k]));
+    larger.resize(larger.capacity());
+    items_ = std::move(larger);
     head_ = 0;
   }
 
--- a/src/net/request_actions.cpp
+++ b/src/net/request_actions.cpp
@@ -17,9 +17,9 @@
 bool RequestCore::describe(RequestId id, violetusher::Request& r) {
   OpenRequest* open = table_.find(id);
   if (!open) return false;
-  --open->untold;
+  --open->undelivered_events;
   if (open->answered()) {  // gone before the module heard of it
-    forget_if_done(*open);
+    release_if_done(*open);
     return false;
   }
   const Command& c = open->command;
@@ -27,21 +27,21 @@
   r.type = c.type;
   r.tenant = c.tenant;
   r.key = c.key;
-  r.remaining = std::max<Micros>(0, open->deadline - p_.io.now());
+  r.remaining = std::max<Micros>(0, open->deadline - deps_.io.now());
   r.work = c.work;
   r.repeat = c.repeat;
   r.write = c.set;
-  open->expiry =
-      p_.timers.set(open->deadline, {.kind = Timers::Task::Kind::kExpiry, .token = open->id});
+  open->deadline_timer =
+      deps_.timers.set(open->deadline, {.kind = Timers::Task::Kind::kDeadline, .token = open->id});
   return true;
 }
 
-void RequestCore::told(RequestId id) {
+void RequestCore::on_event_delivered(RequestId id) {
   OpenRequest* open = table_.find(id);
   if (!open) return;
-  --open->untold;
+  --open->undelivered_events;
   if (open->answered()) withdraw_unsent(*open);
-  forget_if_done(*open);
+  release_if_done(*open);
 }
 
 bool RequestCore::finished(RequestId id) {
@@ -51,80 +51,83 @@
 
 void RequestCore::send(const violetusher::Send& a) {
   OpenRequest* open = table_.find(a.id);
-  if (!open) return;  // the module outlives no request: see forget_if_done
+  if (!open) return;  // the module outlives no request: see release_if_done
   int attempt = static_cast<int>(open->attempts.size());
-  Micros now = p_.io.now();
-  bool spent = open->traffic && !open->answered() && !within_budget(*open);
-  open->attempts.push_back({.server = a.server, .sent = now});
+  Micros now = deps_.io.now();
+  bool budget_spent = open->traffic && !open->answered() && !within_retry_budget(*open);
+  open->attempts.push_back({.server = a.server, .started_at = now});
   // An answer may have come while the module did not know of it yet.
-  if (spent || open->answered() || now >= open->deadline) {
-    if (!spent && open->answered()) note(Kind::kAttemptAfterAnswer, a.id, attempt, 0, 0, a.server);
-    tell_outcome(*open, attempt, Status::NotSent, nullptr);
+  if (budget_spent || open->answered() || now >= open->deadline) {
+    if (!budget_spent && open->answered())
+      record_event(Kind::kAttemptAfterAnswer, a.id, attempt, 0, 0, a.server);
+    report_outcome(*open, attempt, Status::NotSent, nullptr);
     return;
   }
   Micros wait = open->deadline - now;
   if (a.attempt_timeout > 0 && a.attempt_timeout < wait) {
     wait = a.attempt_timeout;
-    open->attempts.back().patience = p_.timers.set(
-        now + wait, {.kind = Timers::Task::Kind::kAttempt, .attempt = attempt, .token = open->id});
+    open->attempts.back().timeout = deps_.timers.set(
+        now + wait,
+        {.kind = Timers::Task::Kind::kAttemptTimeout, .attempt = attempt, .token = open->id});
   }
-  p_.servers.send(a.server, a.id, attempt, open->command, now + wait, a.send_before);
+  deps_.servers.send(a.server, a.id, attempt, open->command, now + wait, a.send_before);
 }
 
 /// The budget's word on another attempt. Where it says no and nothing else is under way, the
 /// request gets its final answer now: a refusal only where trying again is harmless.
-bool RequestCore::within_budget(OpenRequest& open) {
-  Micros now = p_.io.now();
+bool RequestCore::within_retry_budget(OpenRequest& open) {
+  Micros now = deps_.io.now();
   if (open.attempts.empty()) {
     open.traffic->on_first_attempt(now, open.ticket);
     return true;
   }
-  bool hedge = open.any_out();
+  bool hedge = open.any_in_flight();
   if (open.traffic->may_retry(now, open.ticket, hedge)) return true;
   if (hedge) return false;
   bool ran = std::any_of(open.attempts.begin(), open.attempts.end(),
                          [](const Attempt& a) { return a.may_have_run; });
-  give(open, ran && !open.command.idempotency.empty() ? kFailedReply : kBusyReply, Reason::kBudget);
-  tell_gone(open);
+  respond(open, ran && !open.command.idempotency.empty() ? kFailedReply : kBusyReply,
+          Reason::kBudget);
+  report_disconnect(open);
   return false;
 }
 
 void RequestCore::refuse(const violetusher::Refuse& a) {
   OpenRequest* open = table_.find(a.id);
   if (!open || open->answered()) return;
-  give(*open, Reply(Reply::Kind::Busy, a.retry_after), Reason::kModule);
+  respond(*open, Reply(Reply::Kind::Busy, a.retry_after), Reason::kModule);
   withdraw_unsent(*open);
-  forget_if_done(*open);
+  release_if_done(*open);
 }
 
 void RequestCore::fail(const violetusher::Fail& a) {
   OpenRequest* open = table_.find(a.id);
   if (!open || open->answered()) return;
-  give(*open, kFailedReply, Reason::kModule);
+  respond(*open, kFailedReply, Reason::kModule);
   withdraw_unsent(*open);
-  forget_if_done(*open);
+  release_if_done(*open);
 }
 
 void RequestCore::cancel(const violetusher::Cancel& a) {
   OpenRequest* open = table_.find(a.id);
   if (!open || a.attempt < 0 || a.attempt >= static_cast<int>(open->attempts.size())) return;
   Attempt& one = open->attempt(a.attempt);
-  if (!one.out || a.attempt == open->streaming) return;
-  Status status = p_.servers.cancel(one.server, a.id, a.attempt);
-  note(Kind::kCancelled, a.id, a.attempt, 0, static_cast<std::int64_t>(status), {},
-       Reason::kModule);
-  tell_outcome(*open, a.attempt, status, nullptr);
+  if (!one.in_flight || a.attempt == open->streaming_attempt) return;
+  Status status = deps_.servers.cancel(one.server, a.id, a.attempt);
+  record_event(Kind::kCancelled, a.id, a.attempt, 0, static_cast<std::int64_t>(status), {},
+               Reason::kModule);
+  report_outcome(*open, a.attempt, status, nullptr);
 }
 
 /// A timer of a request goes with it: the module would be called for nothing, and at a high rate
 /// what waits for deadlines long past is most of what there is.
-void RequestCore::remind(std::uint32_t module, const violetusher::Timer& a) {
+void RequestCore::set_module_timer(std::uint32_t module, const violetusher::Timer& a) {
   OpenRequest* open = a.request ? table_.find(a.request) : nullptr;
   if (a.request && !open) return;
   Timers::Handle timer =
-      p_.timers.set(p_.io.now() + a.after,
-                    {.kind = Timers::Task::Kind::kModule, .module = module, .token = a.token});
-  if (open) open->asked.push_back(timer);
+      deps_.timers.set(deps_.io.now() + a.after,
+                       {.kind = Timers::Task::Kind::kModule, .module = module, .token = a.token});
+  if (open) open->module_timers.push_back(timer);
 }
 
 }  // namespace violetusher::net
--- a/src/net/request_core.cpp
+++ b/src/net/request_core.cpp
@@ -8,11 +8,11 @@
 using core::flight::Kind;
 
 // A request that the module has left open this long after its time gets its answer all the same.
-constexpr Micros kLastAnswer = 15 * kMillisecond;
+constexpr Micros kFinalAnswerGrace = 15 * kMillisecond;
 // An answer later than this after the client's time is told as close to a broken rule.
-constexpr Micros kLateSlack = 2 * kLastAnswer;
+constexpr Micros kLateAnswerTolerance = 2 * kFinalAnswerGrace;
 // Timers for each open request that may be: its own, and one for each attempt.
-constexpr std::size_t kTimersEach = 8;
+constexpr std::size_t kTimersPerRequest = 8;
 
 const Reply kFailedReply(Reply::Kind::Failed);
 const Reply kBusyReply(Reply::Kind::Busy);
@@ -20,13 +20,13 @@
 
 }  // namespace
 
-RequestCore::RequestCore(const Parts& parts, RequestTable::Bounds bounds)
-    : p_(parts), table_(bounds) {}
+RequestCore::RequestCore(const Dependencies& dependencies, RequestTable::Bounds bounds)
+    : deps_(dependencies), table_(bounds) {}
 
-void RequestCore::note(Kind kind, RequestId id, int attempt, std::uint32_t number,
-                       std::int64_t value, std::string_view text, Reason why) {
-  if (p_.recorder.on())
-    p_.recorder.record(p_.io.now(), kind, id, attempt, number, value, text, why);
+void RequestCore::record_event(Kind kind, RequestId id, int attempt, std::uint32_t number,
+                               std::int64_t value, std::string_view text, Reason why) {
+  if (deps_.recorder.on())
+    deps_.recorder.record(deps_.io.now(), kind, id, attempt, number, value, text, why);
 }
 
 void RequestCore::alert(const char* what) {
@@ -38,8 +38,8 @@
 /// Takes what the settings know. A class or tenant that they don't, or a keyed write without its
 /// key, means something else to a cache server or nothing, and an id that is open already would
 /// make two requests' answers look alike.
-RequestId RequestCore::on_command(Owed owed, Command&& command) {
-  const violetusher::Settings& settings = p_.config.settings;
+RequestId RequestCore::on_command(PendingResponse response, Command&& command) {
+  const violetusher::Settings& settings = deps_.config.settings;
   const auto& classes = settings.classes;
   auto type = std::find_if(classes.begin(), classes.end(),
                            [&](const auto& c) { return c.name == command.type; });
@@ -49,75 +49,76 @@
                 });
   RequestId id = table_.next_id();
   bool keyed = type != classes.end() && type->effect == violetusher::Effect::Keyed;
-  if (type == classes.end() || !tenant || table_.knows(command.id) ||
+  if (type == classes.end() || !tenant || table_.has_client_id(command.id) ||
       (keyed && command.idempotency.empty()))
-    return turn_away(id, std::move(owed), command, kBadReply, Reason::kBadCommand);
-  if (table_.full() ||
-      p_.timers.size() > kTimersEach * table_.most())  // the module sees none of it
-    return turn_away(id, std::move(owed), command, kBusyReply, Reason::kRequestLimit);
-  if (table_.heavy())
-    return turn_away(id, std::move(owed), command, kBusyReply, Reason::kMemoryLimit);
+    return reject(id, std::move(response), command, kBadReply, Reason::kBadCommand);
+  if (table_.full() || deps_.timers.size() >
+                           kTimersPerRequest * table_.max_requests())  // the module sees none of it
+    return reject(id, std::move(response), command, kBusyReply, Reason::kRequestLimit);
+  if (table_.over_memory_limit())
+    return reject(id, std::move(response), command, kBusyReply, Reason::kMemoryLimit);
 
   // Nobody waits longer than the class lets him, so no request is held for longer.
-  Micros now = p_.io.now();
+  Micros now = deps_.io.now();
   Micros wait = std::min(static_cast<Micros>(command.wait_ms * 1000), type->deadline);
   if (command.work && *command.work > type->deadline) command.work.reset();  // no guess at all
 
   core::TrafficPolicy::Ticket ticket;
-  std::uint32_t module = PoolSet::kWhole;
-  if (traffic_) {
+  std::uint32_t module = PoolSet::kWholeList;
+  if (traffic_policy_) {
     std::string_view listener =
         command.listener.empty() ? "main" : std::string_view(command.listener);
     core::RouteRequest request{listener, command.tenant, command.type, command.key};
-    auto decision = traffic_->admit(now, request, keyed, p_.pools);
+    auto decision = traffic_policy_->admit(now, request, keyed, deps_.pools);
     if (!decision.admitted) {
       Reply reply = kBusyReply;
       if (settings.retry_after && decision.retry_after > 0)
         reply.retry_after = std::min(decision.retry_after, settings.max_retry_after);
-      return turn_away(id, std::move(owed), command, reply,
-                       decision.ticket.route ? Reason::kLimit : Reason::kNoRoute);
+      return reject(id, std::move(response), command, reply,
+                    decision.ticket.route ? Reason::kLimit : Reason::kNoRoute);
     }
     ticket = std::move(decision.ticket);
-    auto entered = p_.pools.enter(*ticket.pool, now);
+    auto entered = deps_.pools.begin_request(*ticket.pool, now);
     if (!entered) {
-      traffic_->end(now, ticket, true);
-      return turn_away(id, std::move(owed), command, kBusyReply, Reason::kRequestLimit);
+      traffic_policy_->end(now, ticket, true);
+      return reject(id, std::move(response), command, kBusyReply, Reason::kRequestLimit);
     }
     module = *entered;
   } else {
-    p_.pools.enter_whole();
+    deps_.pools.begin_whole_list_request();
   }
 
-  OpenRequest& open = table_.enter(id, std::move(command));
-  open.owed = std::move(owed);
+  OpenRequest& open = table_.insert(id, std::move(command));
+  open.response = std::move(response);
   ++unanswered_;
   open.deadline = now + wait;
   open.module = module;
-  open.traffic = ticket.pool ? traffic_ : nullptr;
+  open.traffic = ticket.pool ? traffic_policy_ : nullptr;
   open.ticket = std::move(ticket);
-  open.untold = 1;
-  note(Kind::kReceived, id, -1, 0, wait, open.command.id);
-  if (open.traffic) note(Kind::kRouted, id, -1, module, 0, *open.ticket.pool);
-  p_.feed.push(RequestEvent{module, id});
+  open.undelivered_events = 1;
+  record_event(Kind::kReceived, id, -1, 0, wait, open.command.id);
+  if (open.traffic) record_event(Kind::kRouted, id, -1, module, 0, *open.ticket.pool);
+  deps_.feed.push(RequestEvent{module, id});
   return id;
 }
 
-void RequestCore::count(const std::string& type, Reply::Kind kind) {
-  if (account_ && kind == Reply::Kind::Busy) account_->refused(type);
+void RequestCore::count_outcome(const std::string& type, Reply::Kind kind) {
+  if (activity_recorder_ && kind == Reply::Kind::Busy) activity_recorder_->refused(type);
   using End = core::ops::Metrics::Outcome;
   bool served = kind == Reply::Kind::Value || kind == Reply::Kind::Stored;
-  p_.figures.count(type, served                      ? End::kSuccess
-                         : kind == Reply::Kind::Busy ? End::kOverload
-                                                     : End::kError);
+  deps_.metrics.count(type, served                      ? End::kSuccess
+                            : kind == Reply::Kind::Busy ? End::kOverload
+                                                        : End::kError);
 }
 
 /// The final answer to a request that never comes to the table.
-RequestId RequestCore::turn_away(RequestId id, Owed&& owed, const Command& command,
-                                 const Reply& reply, Reason why) {
-  note(Kind::kReceived, id, -1, 0, static_cast<std::int64_t>(command.wait_ms * 1000), command.id);
-  note(Kind::kRefused, id, -1, 0, reply.retry_after, {}, why);
-  count(command.type, reply.kind);
-  p_.clients.answer(std::move(owed), command.id, reply);
+RequestId RequestCore::reject(RequestId id, PendingResponse&& response, const Command& command,
+                              const Reply& reply, Reason why) {
+  record_event(Kind::kReceived, id, -1, 0, static_cast<std::int64_t>(command.wait_ms * 1000),
+               command.id);
+  record_event(Kind::kRefused, id, -1, 0, reply.retry_after, {}, why);
+  count_outcome(command.type, reply.kind);
+  deps_.clients.respond(std::move(response), command.id, reply);
   return 0;
 }
 
@@ -125,61 +126,62 @@
 /// sending side alone. Its attempts are given up at once: where clients leave early and ask again,
 /// what they left behind ran on unseen by the module and filled the servers. One that still reads
 /// gets its final answer now; it hurts clients that end their sending before they have read.
-void RequestCore::on_left(RequestId id) {
+void RequestCore::on_client_eof(RequestId id) {
   OpenRequest* open = table_.find(id);
   if (!open || open->answered()) return;
-  give(*open, kFailedReply, Reason::kClientLeft);
-  tell_gone(*open);
+  respond(*open, kFailedReply, Reason::kClientLeft);
+  report_disconnect(*open);
 }
 
-void RequestCore::on_gone(RequestId id) {
+void RequestCore::on_client_disconnected(RequestId id) {
   OpenRequest* open = table_.find(id);
   if (!open) return;
   if (!open->answered()) --unanswered_;
-  open->owed.lapse();
-  if (open->rest) {
-    open->rest.lapse();
-    Attempt& a = open->attempt(open->streaming);
-    Status status = p_.servers.cancel(a.server, id, open->streaming);
-    note(Kind::kCancelled, id, open->streaming, 0, static_cast<std::int64_t>(status), {},
-         Reason::kClientLeft);
-    tell_outcome(*open, open->streaming, status, nullptr);
+  open->response.abandon();
+  if (open->stream) {
+    open->stream.abandon();
+    Attempt& a = open->attempt(open->streaming_attempt);
+    Status status = deps_.servers.cancel(a.server, id, open->streaming_attempt);
+    record_event(Kind::kCancelled, id, open->streaming_attempt, 0,
+                 static_cast<std::int64_t>(status), {}, Reason::kClientLeft);
+    report_outcome(*open, open->streaming_attempt, status, nullptr);
   }
-  note(Kind::kClientGone, id);
-  if (open->traffic) open->traffic->end(p_.io.now(), open->ticket, false);
-  tell_gone(*open);
+  record_event(Kind::kClientGone, id);
+  if (open->traffic) open->traffic->end(deps_.io.now(), open->ticket, false);
+  report_disconnect(*open);
 }
 
-void RequestCore::tell_gone(OpenRequest& open) {
-  ++open.untold;
-  p_.feed.push(GoneEvent{open.module, open.id});
+void RequestCore::report_disconnect(OpenRequest& open) {
+  ++open.undelivered_events;
+  deps_.feed.push(DisconnectEvent{open.module, open.id});
 }
 
 /// What every final answer does to the books, however it is given.
-void RequestCore::book(OpenRequest& open, Reply::Kind kind) {
-  if (open.traffic) open.traffic->end(p_.io.now(), open.ticket, kind == Reply::Kind::Busy);
-  count(open.command.type, kind);
+void RequestCore::record_final_response(OpenRequest& open, Reply::Kind kind) {
+  if (open.traffic) open.traffic->end(deps_.io.now(), open.ticket, kind == Reply::Kind::Busy);
+  count_outcome(open.command.type, kind);
   --unanswered_;
 }
 
 /// The one final answer. Whoever comes second is stopped here.
-void RequestCore::give(OpenRequest& open, const Reply& reply, Reason why) {
-  p_.guard.on_final_response(open.id, !open.answered());
+void RequestCore::respond(OpenRequest& open, const Reply& reply, Reason why) {
+  deps_.invariants.on_final_response(open.id, !open.answered());
   if (open.answered()) {
-    note(Kind::kSecondAnswer, open.id, -1, 0, 0, {}, why);
+    record_event(Kind::kSecondAnswer, open.id, -1, 0, 0, {}, why);
     alert("second-answer");
     return;
   }
-  Micros now = p_.io.now();
+  Micros now = deps_.io.now();
   bool refused = reply.kind == Reply::Kind::Busy;
   if (reply.kind == Reply::Kind::Value || reply.kind == Reply::Kind::Stored)
-    note(Kind::kAnswered, open.id, -1, static_cast<std::uint32_t>(reply.value.size()));
+    record_event(Kind::kAnswered, open.id, -1, static_cast<std::uint32_t>(reply.value.size()));
   else
-    note(refused ? Kind::kRefused : Kind::kFailed, open.id, -1, 0, reply.retry_after, {}, why);
-  book(open, reply.kind);
-  p_.clients.answer(std::move(open.owed), open.command.id, reply);
-  if (now > open.deadline + kLateSlack) {
-    note(Kind::kLate, open.id, -1, 0, now - open.deadline);
+    record_event(refused ? Kind::kRefused : Kind::kFailed, open.id, -1, 0, reply.retry_after, {},
+                 why);
+  record_final_response(open, reply.kind);
+  deps_.clients.respond(std::move(open.response), open.command.id, reply);
+  if (now > open.deadline + kLateAnswerTolerance) {
+    record_event(Kind::kLate, open.id, -1, 0, now - open.deadline);
     alert("late-answer");
   }
 }
@@ -187,8 +189,8 @@
 void RequestCore::fail_all() {
   table_.each([this](OpenRequest& open) {
     if (open.answered()) return;
-    give(open, kFailedReply, Reason::kShutdown);
-    tell_gone(open);
+    respond(open, kFailedReply, Reason::kShutdown);
+    report_disconnect(open);
   });
 }
 
@@ -197,130 +199,134 @@
 void RequestCore::on_attempt_end(RequestId id, int attempt, Status status, Answer&& answer) {
   OpenRequest* open = table_.find(id);
   if (!open) return;
-  if (open->streaming == attempt) end_stream(*open, status == Status::Ok);
-  if (status == Status::Miss && !p_.config.settings.cache_aside) status = Status::Error;
+  if (open->streaming_attempt == attempt) end_stream(*open, status == Status::Ok);
+  if (status == Status::Miss && !deps_.config.settings.cache_aside) status = Status::Error;
   if (status == Status::Ok && !open->answered()) {
     Reply reply;
     reply.kind = answer.kind == Answer::Kind::Value ? Reply::Kind::Value : Reply::Kind::Stored;
     reply.value = answer.value;
     reply.receipt = answer.receipt;
-    give(*open, reply, Reason::kNone);
+    respond(*open, reply, Reason::kNone);
   }
-  if (open->attempt(attempt).out) tell_outcome(*open, attempt, status, &answer);
-  forget_if_done(*open);
+  if (open->attempt(attempt).in_flight) report_outcome(*open, attempt, status, &answer);
+  release_if_done(*open);
 }
 
-void RequestCore::on_attempt_written(RequestId id, int attempt, bool wanted, Micros sent_deadline) {
+void RequestCore::on_attempt_written(RequestId id, int attempt, bool server_available,
+                                     Micros sent_deadline) {
   OpenRequest* open = table_.find(id);
-  core::InvariantChecker::AttemptStart begin;
-  begin.request = id;
-  begin.server_available = wanted;
-  begin.request_open = open && !open->answered();
-  begin.sent_deadline = sent_deadline;
+  core::InvariantChecker::AttemptStart start;
+  start.request = id;
+  start.server_available = server_available;
+  start.request_open = open && !open->answered();
+  start.sent_deadline = sent_deadline;
   if (open) {
-    begin.server = open->attempt(attempt).server;
-    begin.deadline = open->deadline;
-    begin.hedges_allowed = p_.config.settings.may_hedge;
+    start.server = open->attempt(attempt).server;
+    start.deadline = open->deadline;
+    start.hedges_allowed = deps_.config.settings.may_hedge;
     for (std::size_t k = 0; k < open->attempts.size(); ++k)
-      begin.hedge |= static_cast<int>(k) != attempt && open->attempts[k].out;
+      start.hedge |= static_cast<int>(k) != attempt && open->attempts[k].in_flight;
   }
-  p_.guard.on_attempt_start(begin);
+  deps_.invariants.on_attempt_start(start);
 }
 
 /// The final answer to a request, but for the rest of its value: from here it has no deadline and
 /// no other attempt, and what can go wrong shows as a value that is not whole.
-bool RequestCore::on_attempt_begin(RequestId id, int attempt, const Answer& head) {
+bool RequestCore::on_stream_begin(RequestId id, int attempt, const Answer& head) {
   OpenRequest* open = table_.find(id);
   if (!open || open->answered()) return false;
-  Micros now = p_.io.now();
-  note(Kind::kAnswered, id, attempt, static_cast<std::uint32_t>(head.length));
-  book(*open, Reply::Kind::Value);
-  open->rest = std::move(open->owed);
-  open->streaming = attempt;
-  p_.clients.begin(open->rest, open->command.id, head.length);
+  Micros now = deps_.io.now();
+  record_event(Kind::kAnswered, id, attempt, static_cast<std::uint32_t>(head.length));
+  record_final_response(*open, Reply::Kind::Value);
+  open->stream = std::move(open->response);
+  open->streaming_attempt = attempt;
+  deps_.clients.begin_stream(open->stream, open->command.id, head.length);
   Attempt& a = open->attempt(attempt);
-  a.begun = now;
-  p_.timers.cancel(a.patience);
-  ++open->untold;
-  p_.feed.push(FirstEvent{open->module, id, a.server, attempt, now - a.sent});
+  a.first_byte_at = now;
+  deps_.timers.cancel(a.timeout);
+  ++open->undelivered_events;
+  deps_.feed.push(StreamBeginEvent{open->module, id, a.server, attempt, now - a.started_at});
   return true;
 }
 
-bool RequestCore::on_attempt_piece(RequestId id, int, std::string_view piece) {
+bool RequestCore::on_stream_data(RequestId id, int, std::string_view piece) {
   OpenRequest* open = table_.find(id);
-  return !open || !open->rest || p_.clients.pass(open->rest, piece);
+  return !open || !open->stream || deps_.clients.stream(open->stream, piece);
 }
 
 void RequestCore::end_stream(OpenRequest& open, bool whole) {
   if (whole)
-    p_.clients.end(std::move(open.rest));
+    deps_.clients.end_stream(std::move(open.stream));
   else
-    p_.clients.abort(std::move(open.rest));
+    deps_.clients.abort_stream(std::move(open.stream));
 }
 
-void RequestCore::on_drained(RequestId id) {
+void RequestCore::on_buffer_drained(RequestId id) {
   OpenRequest* open = table_.find(id);
-  if (open && open->rest)
-    p_.servers.resume(open->attempt(open->streaming).server, id, open->streaming);
+  if (open && open->stream)
+    deps_.servers.resume(open->attempt(open->streaming_attempt).server, id,
+                         open->streaming_attempt);
 }
 
 /// The attempt's patience, or the client's, is over.
-void RequestCore::expire(const Timers::Task& due) {
-  OpenRequest* open = table_.find(due.token);
+void RequestCore::on_timer(const Timers::Task& task) {
+  OpenRequest* open = table_.find(task.token);
   if (!open) return;
-  if (due.kind == Timers::Task::Kind::kLast) {
-    open->expiry = 0;
+  if (task.kind == Timers::Task::Kind::kFinalAnswer) {
+    open->deadline_timer = 0;
     if (!open->answered()) {
-      give(*open, kFailedReply, Reason::kDeadline);
-      tell_gone(*open);  // or the module would hold on to it
+      respond(*open, kFailedReply, Reason::kDeadline);
+      report_disconnect(*open);  // or the module would hold on to it
     }
     return;
   }
-  bool all = due.kind == Timers::Task::Kind::kExpiry;
-  if (all) open->expiry = 0;
+  bool all = task.kind == Timers::Task::Kind::kDeadline;
+  if (all) open->deadline_timer = 0;
   for (std::size_t k = 0; k < open->attempts.size(); ++k) {
     Attempt& a = open->attempts[k];
     int attempt = static_cast<int>(k);
-    if (!a.out || attempt == open->streaming || (!all && attempt != due.attempt)) continue;
+    if (!a.in_flight || attempt == open->streaming_attempt || (!all && attempt != task.attempt))
+      continue;
     // Where there may be no second copy the next attempt waits until this one is over, and one
     // whose connection stays open for others is not.
-    bool alone = all || p_.config.settings.may_hedge;
-    if (!alone && !p_.servers.may_give_up(a.server, open->id, attempt)) continue;
-    Status status = p_.servers.cancel(a.server, open->id, attempt);
-    note(Kind::kCancelled, open->id, attempt, 0, static_cast<std::int64_t>(status), {},
-         Reason::kDeadline);
-    tell_outcome(*open, attempt,
-                 status == Status::NotSent ? Status::ConnectFailed : Status::Timeout, nullptr);
+    bool alone = all || deps_.config.settings.may_hedge;
+    if (!alone && !deps_.servers.may_abandon(a.server, open->id, attempt)) continue;
+    Status status = deps_.servers.cancel(a.server, open->id, attempt);
+    record_event(Kind::kCancelled, open->id, attempt, 0, static_cast<std::int64_t>(status), {},
+                 Reason::kDeadline);
+    report_outcome(*open, attempt,
+                   status == Status::NotSent ? Status::ConnectFailed : Status::Timeout, nullptr);
   }
   if (all && !open->answered())
-    open->expiry = p_.timers.set(p_.io.now() + kLastAnswer,
-                                 {.kind = Timers::Task::Kind::kLast, .token = open->id});
+    open->deadline_timer =
+        deps_.timers.set(deps_.io.now() + kFinalAnswerGrace,
+                         {.kind = Timers::Task::Kind::kFinalAnswer, .token = open->id});
 }
 
-void RequestCore::tell_outcome(OpenRequest& open, int attempt, Status status, Answer* answer) {
+void RequestCore::report_outcome(OpenRequest& open, int attempt, Status status, Answer* answer) {
   Attempt& a = open.attempt(attempt);
-  a.out = false;
+  a.in_flight = false;
   a.may_have_run =
       status != Status::Overloaded && status != Status::ConnectFailed && status != Status::NotSent;
-  p_.timers.cancel(a.patience);
+  deps_.timers.cancel(a.timeout);
   // Cancelled and moot ones tell nothing, a miss is an answer.
   if (open.traffic && status != Status::Cancelled && status != Status::NotSent)
-    open.traffic->on_attempt_end(p_.io.now(), open.ticket,
+    open.traffic->on_attempt_end(deps_.io.now(), open.ticket,
                                  status != Status::Ok && status != Status::Miss);
-  note(Kind::kEnd, open.id, attempt, 0, static_cast<std::int64_t>(status), a.server);
+  record_event(Kind::kEnd, open.id, attempt, 0, static_cast<std::int64_t>(status), a.server);
   OutcomeEvent e;
   e.module = open.module;
   e.outcome.id = open.id;
   e.outcome.server = a.server;
   e.outcome.status = status;
-  e.outcome.latency = (a.begun ? a.begun : p_.io.now()) - a.sent;
+  e.outcome.latency = (a.first_byte_at ? a.first_byte_at : deps_.io.now()) - a.started_at;
   e.outcome.attempt = attempt;
   if (answer) {
     e.outcome.cache_result = answer->note;
     e.outcome.report = answer->report;
   }
-  ++open.untold;
-  p_.feed.push(std::move(e));
+  ++open.undelivered_events;
+  deps_.feed.push(std::move(e));
 }
 
 /// Nothing more goes out for a request that has its answer, or whose client has gone: what waits
@@ -328,17 +334,18 @@
 void RequestCore::withdraw_unsent(OpenRequest& open) {
   for (std::size_t k = 0; k < open.attempts.size(); ++k) {
     int attempt = static_cast<int>(k);
-    if (open.attempts[k].out && p_.servers.withdraw(open.attempts[k].server, open.id, attempt))
-      tell_outcome(open, attempt, Status::NotSent, nullptr);
+    if (open.attempts[k].in_flight &&
+        deps_.servers.withdraw(open.attempts[k].server, open.id, attempt))
+      report_outcome(open, attempt, Status::NotSent, nullptr);
   }
 }
 
-void RequestCore::forget_if_done(OpenRequest& open) {
+void RequestCore::release_if_done(OpenRequest& open) {
   if (!open.done()) return;
-  p_.timers.cancel(open.expiry);
-  for (Timers::Handle& timer : open.asked) p_.timers.cancel(timer);
-  note(Kind::kReleased, open.id);
-  p_.pools.leave(open.module, p_.io.now());
+  deps_.timers.cancel(open.deadline_timer);
+  for (Timers::Handle& timer : open.module_timers) deps_.timers.cancel(timer);
+  record_event(Kind::kReleased, open.id);
+  deps_.pools.end_request(open.module, deps_.io.now());
   table_.erase(open);
 }
 
--- a/src/net/request_core.hpp
+++ b/src/net/request_core.hpp
@@ -18,7 +18,7 @@
 class RequestCore final : public ClientSide::Handler, public ServerSide::Handler {
  public:
   /// What it works with. All outlive it; the two sides may be made after it.
-  struct Parts {
+  struct Dependencies {
     Io& io;
     const Config& config;
     PoolSet& pools;
@@ -27,17 +27,21 @@
     ClientSide& clients;
     ServerSide& servers;
     core::flight::Recorder& recorder;
-    core::ops::Metrics& figures;
-    core::InvariantChecker& guard;
+    core::ops::Metrics& metrics;
+    core::InvariantChecker& invariants;
   };
-  RequestCore(const Parts& parts, RequestTable::Bounds bounds);
+  RequestCore(const Dependencies& dependencies, RequestTable::Bounds bounds);
 
   /// What an operator file makes of requests from now on; those that are open keep theirs.
-  void operate(std::shared_ptr<core::TrafficPolicy> traffic) { traffic_ = std::move(traffic); }
+  void set_traffic_policy(std::shared_ptr<core::TrafficPolicy> traffic) {
+    traffic_policy_ = std::move(traffic);
+  }
   /// What new settings say of the table.
-  void retune(RequestTable::Bounds bounds) { table_.bound(bounds); }
+  void update_bounds(RequestTable::Bounds bounds) { table_.set_bounds(bounds); }
   /// Tells `account`, which outlives this, what is refused.
-  void attach_activity_recorder(core::audit::ActivityRecorder& account) { account_ = &account; }
+  void attach_activity_recorder(core::audit::ActivityRecorder& activity_recorder) {
+    activity_recorder_ = &activity_recorder;
+  }
   /// Called where a rule is close to being broken, with what it is about.
   void on_alert(std::function<void(const char* what)> alert) { alert_ = std::move(alert); }
 
@@ -46,16 +50,16 @@
   void refuse(const violetusher::Refuse& a);
   void fail(const violetusher::Fail& a);
   void cancel(const violetusher::Cancel& a);
-  void remind(std::uint32_t module, const violetusher::Timer& a);
+  void set_module_timer(std::uint32_t module, const violetusher::Timer& a);
 
   /// What the module is told of a request; false where that has become pointless.
   bool describe(RequestId id, violetusher::Request& request);
   /// An event of the request has been told to its module, or was dropped with it.
-  void told(RequestId id);
+  void on_event_delivered(RequestId id);
   /// Whether the request has its answer, or is forgotten.
   bool finished(RequestId id);
 
-  void expire(const Timers::Task& due);
+  void on_timer(const Timers::Task& task);
   /// The last moment before the end: nobody waits for an answer that will never come.
   void fail_all();
 
@@ -64,40 +68,44 @@
   std::size_t unanswered() const { return unanswered_; }
 
   // ClientSide::Handler
-  RequestId on_command(Owed owed, Command&& command) override;
-  void on_turned_away(const Command& command) override { count(command.type, Reply::Kind::Busy); }
-  void on_left(RequestId id) override;
-  void on_gone(RequestId id) override;
-  void on_drained(RequestId id) override;
+  RequestId on_command(PendingResponse response, Command&& command) override;
+  void on_rejected(const Command& command) override {
+    count_outcome(command.type, Reply::Kind::Busy);
+  }
+  void on_client_eof(RequestId id) override;
+  void on_client_disconnected(RequestId id) override;
+  void on_buffer_drained(RequestId id) override;
   // ServerSide::Handler
   void on_attempt_end(RequestId id, int attempt, Status status, Answer&& answer) override;
-  void on_attempt_written(RequestId id, int attempt, bool wanted, Micros sent_deadline) override;
-  bool on_attempt_begin(RequestId id, int attempt, const Answer& head) override;
-  bool on_attempt_piece(RequestId id, int attempt, std::string_view piece) override;
+  void on_attempt_written(RequestId id, int attempt, bool server_available,
+                          Micros sent_deadline) override;
+  bool on_stream_begin(RequestId id, int attempt, const Answer& head) override;
+  bool on_stream_data(RequestId id, int attempt, std::string_view piece) override;
 
  private:
   using Reason = core::flight::Reason;
-  RequestId turn_away(RequestId id, Owed&& owed, const Command& command, const Reply& reply,
-                      Reason why);
-  void count(const std::string& type, Reply::Kind kind);
-  void book(OpenRequest& open, Reply::Kind kind);
-  void give(OpenRequest& open, const Reply& reply, Reason why);
-  bool within_budget(OpenRequest& open);
+  RequestId reject(RequestId id, PendingResponse&& response, const Command& command,
+                   const Reply& reply, Reason why);
+  void count_outcome(const std::string& type, Reply::Kind kind);
+  void record_final_response(OpenRequest& open, Reply::Kind kind);
+  void respond(OpenRequest& open, const Reply& reply, Reason why);
+  bool within_retry_budget(OpenRequest& open);
   void end_stream(OpenRequest& open, bool whole);
-  void tell_outcome(OpenRequest& open, int attempt, Status status, Answer* answer);
-  void tell_gone(OpenRequest& open);
+  void report_outcome(OpenRequest& open, int attempt, Status status, Answer* answer);
+  void report_disconnect(OpenRequest& open);
   void withdraw_unsent(OpenRequest& open);
-  void forget_if_done(OpenRequest& open);
-  void note(core::flight::Kind kind, RequestId id, int attempt = -1, std::uint32_t number = 0,
-            std::int64_t value = 0, std::string_view text = {}, Reason why = Reason::kNone);
+  void release_if_done(OpenRequest& open);
+  void record_event(core::flight::Kind kind, RequestId id, int attempt = -1,
+                    std::uint32_t number = 0, std::int64_t value = 0, std::string_view text = {},
+                    Reason why = Reason::kNone);
   void alert(const char* what);
 
-  Parts p_;
+  Dependencies deps_;
   RequestTable table_;
   std::size_t unanswered_ = 0;
-  std::shared_ptr<core::TrafficPolicy> traffic_;
+  std::shared_ptr<core::TrafficPolicy> traffic_policy_;
   std::function<void(const char*)> alert_;
-  core::audit::ActivityRecorder* account_ = nullptr;
+  core::audit::ActivityRecorder* activity_recorder_ = nullptr;
 };
 
 }  // namespace violetusher::net
--- a/src/net/request_table.cpp
+++ b/src/net/request_table.cpp
@@ -6,34 +6,35 @@
 namespace {
 
 // Entries that are kept for the next requests, and the most that the texts of each may hold.
-constexpr std::size_t kSpare = 128;
-constexpr std::size_t kSpareBytes = 4096;
+constexpr std::size_t kMaxSpareNodes = 128;
+constexpr std::size_t kMaxSpareCommandBytes = 4096;
 
 }  // namespace
 
 void OpenRequest::clear() {
   id = 0;
   command.clear();
-  owed.lapse();
-  rest.lapse();
+  response.abandon();
+  stream.abandon();
   deadline = 0;
-  untold = 0;
+  undelivered_events = 0;
   attempts.clear();
-  streaming = -1;
+  streaming_attempt = -1;
   module = 0;
   traffic.reset();
   ticket = {};
-  expiry = 0;
-  asked.clear();
+  deadline_timer = 0;
+  module_timers.clear();
 }
 
-bool OpenRequest::any_out() const {
-  return std::any_of(attempts.begin(), attempts.end(), [](const Attempt& a) { return a.out; });
+bool OpenRequest::any_in_flight() const {
+  return std::any_of(attempts.begin(), attempts.end(),
+                     [](const Attempt& a) { return a.in_flight; });
 }
 
-bool OpenRequest::done() const { return answered() && untold == 0 && !any_out(); }
+bool OpenRequest::done() const { return answered() && undelivered_events == 0 && !any_in_flight(); }
 
-RequestTable::Open::node_type RequestTable::fresh_open() {
+RequestTable::Open::node_type RequestTable::acquire_node() {
   if (spare_open_.empty()) {
     Open one;
     one.emplace(0, std::make_unique<OpenRequest>());
@@ -44,7 +45,7 @@
   return node;
 }
 
-RequestTable::Ids::node_type RequestTable::fresh_id() {
+RequestTable::Ids::node_type RequestTable::acquire_id_node() {
   if (spare_ids_.empty()) {
     Ids one{""};
     return one.extract(one.begin());
@@ -54,14 +55,14 @@
   return node;
 }
 
-OpenRequest& RequestTable::enter(RequestId id, Command&& command) {
-  auto node = fresh_open();
+OpenRequest& RequestTable::insert(RequestId id, Command&& command) {
+  auto node = acquire_node();
   node.key() = id;
   OpenRequest& open = *node.mapped();
   open_.insert(std::move(node));
   open.id = id;
   std::swap(open.command, command);
-  auto name = fresh_id();
+  auto name = acquire_id_node();
   name.value() = open.command.id;
   ids_.insert(std::move(name));
   bytes_ += open.command.size();
@@ -78,7 +79,7 @@
   std::size_t size = open.command.size();
   bytes_ -= size;
   auto node = open_.extract(open.id);
-  if (spare_open_.size() >= kSpare || size > kSpareBytes) return;
+  if (spare_open_.size() >= kMaxSpareNodes || size > kMaxSpareCommandBytes) return;
   open.clear();
   spare_open_.push_back(std::move(node));
   spare_ids_.push_back(std::move(name));
--- a/src/net/request_table.hpp
+++ b/src/net/request_table.hpp
@@ -17,35 +17,35 @@
 /// One attempt of a request at a server.
 struct Attempt {
   std::string server;
-  Micros sent = 0;
-  Micros begun = 0;  ///< the first bytes of a long value came; 0 = none
-  bool out = true;   ///< its outcome has not been told to the module
+  Micros started_at = 0;
+  Micros first_byte_at = 0;  ///< the first bytes of a long value came; 0 = none
+  bool in_flight = true;     ///< its outcome has not been told to the module
   bool may_have_run = false;
-  Timers::Handle patience = 0;
+  Timers::Handle timeout = 0;
 };
 
 struct OpenRequest {
   RequestId id = 0;
   Command command;
-  Owed owed;  ///< empty once the final answer is given, or nobody is left to get one
+  PendingResponse response;  ///< empty once the final answer is given, or nobody is left to get one
   Micros deadline = 0;
-  int untold = 0;  ///< events of it on their way to the module
+  int undelivered_events = 0;  ///< events of it on their way to the module
   std::vector<Attempt> attempts;
   // Of an answer that is passed on while it comes: it has been given, and its rest is owed still.
-  int streaming = -1;  ///< the attempt that brings it
-  Owed rest;
+  int streaming_attempt = -1;  ///< the attempt that brings it
+  PendingResponse stream;
   std::uint32_t module = 0;                      ///< whose it is; see PoolSet
   std::shared_ptr<core::TrafficPolicy> traffic;  ///< none where no operator file is in use
   core::TrafficPolicy::Ticket ticket;
-  Timers::Handle expiry = 0;
-  std::vector<Timers::Handle> asked;  ///< timers that its module has set for it
+  Timers::Handle deadline_timer = 0;
+  std::vector<Timers::Handle> module_timers;  ///< timers that its module has set for it
 
   /// As made anew, but for the memory of its texts and lists, which is kept for the next one.
   void clear();
-  bool answered() const { return !owed; }
+  bool answered() const { return !response; }
   /// Nothing is owed, told or out any more.
   bool done() const;
-  bool any_out() const;
+  bool any_in_flight() const;
   Attempt& attempt(int number) { return attempts[static_cast<std::size_t>(number)]; }
 };
 
@@ -57,15 +57,15 @@
   };
   explicit RequestTable(Bounds bounds) : bounds_(bounds) {}
   /// Other bounds from now on; what is open stays.
-  void bound(Bounds bounds) { bounds_ = bounds; }
+  void set_bounds(Bounds bounds) { bounds_ = bounds; }
 
   bool full() const { return open_.size() >= bounds_.requests; }
-  bool heavy() const { return bytes_ >= bounds_.bytes; }
+  bool over_memory_limit() const { return bytes_ >= bounds_.bytes; }
   /// Whether a request is open that its client calls `id`: two would have answers that look alike.
-  bool knows(const std::string& id) const { return ids_.count(id) > 0; }
+  bool has_client_id(const std::string& id) const { return ids_.count(id) > 0; }
   /// Enters a request, whose number is `id`. Its client's own id must not be known. What `command`
   /// holds afterwards is of no more use than its memory.
-  OpenRequest& enter(RequestId id, Command&& command);
+  OpenRequest& insert(RequestId id, Command&& command);
   /// None where it is over.
   OpenRequest* find(RequestId id);
   void erase(OpenRequest& open);
@@ -74,7 +74,7 @@
 
   std::size_t size() const { return open_.size(); }
   std::size_t bytes() const { return bytes_; }
-  std::size_t most() const { return bounds_.requests; }
+  std::size_t max_requests() const { return bounds_.requests; }
   template <typename F>
   void each(F&& f) {
     for (auto& [id, open] : open_) f(*open);
@@ -83,8 +83,8 @@
  private:
   using Open = std::unordered_map<RequestId, std::unique_ptr<OpenRequest>>;
   using Ids = std::unordered_set<std::string_view>;
-  Open::node_type fresh_open();
-  Ids::node_type fresh_id();
+  Open::node_type acquire_node();
+  Ids::node_type acquire_id_node();
 
   Bounds bounds_;
   Open open_;
--- a/src/net/router.cpp
+++ b/src/net/router.cpp
@@ -13,22 +13,22 @@
 constexpr std::size_t kReservedSockets = 24;
 // And for operators: their listener, their connections, the file of bans.
 constexpr std::size_t kOperatorSockets = OperatorListener::kMaxConnections + 4;
-constexpr std::size_t kSpareClients = 50;
+constexpr std::size_t kSpareClientConnections = 50;
 // Memory, as parts of what the router may use: the commands of open requests, and what is buffered
-// for clients. An open request costs kOpenBytes beside its command: its places in the tables here
-// and in the module, timers, and its answer on the way.
-constexpr std::size_t kOpenPart = 4, kBufferPart = 8;
-constexpr std::size_t kOpenBytes = 4096;
+// for clients. An open request costs kOverheadBytesPerRequest beside its command: its places in the
+// tables here and in the module, timers, and its answer on the way.
+constexpr std::size_t kRequestMemoryDivisor = 4, kBufferMemoryDivisor = 8;
+constexpr std::size_t kOverheadBytesPerRequest = 4096;
 // After SIGTERM the front still sends new connections for up to 0.4 s, and what comes later than
 // 0.7 s is ours to lose no more: in between the router stops listening.
-constexpr Micros kStopListening = kSecond / 2;
-constexpr Micros kStopStep = 20 * kMillisecond;
-// SIGKILL comes 0.7 s after the longest deadline, which the platform takes for kLongestWait at the
-// most. Before that whatever is open is failed, and clients have kStopLinger to read it and close:
-// an end of the process over unread bytes resets connections and takes unread answers along.
-constexpr Micros kLongestWait = 3 * kSecond;
-constexpr Micros kStopSlack = 600 * kMillisecond;
-constexpr Micros kStopLinger = 60 * kMillisecond;
+constexpr Micros kStopListeningAfter = kSecond / 2;
+constexpr Micros kStopPollInterval = 20 * kMillisecond;
+// SIGKILL comes 0.7 s after the longest deadline, which the platform takes for kMaxDeadline at the
+// most. Before that whatever is open is failed, and clients have kShutdownLinger to read it and
+// close: an end of the process over unread bytes resets connections and takes unread answers along.
+constexpr Micros kMaxDeadline = 3 * kSecond;
+constexpr Micros kShutdownMargin = 600 * kMillisecond;
+constexpr Micros kShutdownLinger = 60 * kMillisecond;
 
 const violetusher::Actions kNoActions;
 
@@ -41,9 +41,9 @@
 
 ClientSide::Limits client_limits(const Config& c) {
   ClientSide::Limits l;
-  l.spare_connections = std::min(kSpareClients, c.sockets / 16);
+  l.spare_connections = std::min(kSpareClientConnections, c.sockets / 16);
   l.connections = usable_sockets(c) - server_sockets(c) - l.spare_connections;
-  l.buffer_bytes = c.memory_bytes / kBufferPart;
+  l.buffer_bytes = c.memory_bytes / kBufferMemoryDivisor;
   return l;
 }
 
@@ -57,12 +57,13 @@
 }
 
 RequestTable::Bounds table_bounds(const Config& c) {
-  std::size_t bytes = c.memory_bytes / kOpenPart;
-  return {std::min(bytes / kOpenBytes, static_cast<std::size_t>(c.connection_settings.max_open)),
+  std::size_t bytes = c.memory_bytes / kRequestMemoryDivisor;
+  return {std::min(bytes / kOverheadBytesPerRequest,
+                   static_cast<std::size_t>(c.connection_settings.max_open)),
           bytes};
 }
 
-core::membership::WatchTiming terms_of(const violetusher::Settings& settings) {
+core::membership::WatchTiming watch_timing_of(const violetusher::Settings& settings) {
   return settings.list_on_demand ? core::membership::polled_timing()
                                  : core::membership::pushed_timing(settings.drain_grace);
 }
@@ -70,7 +71,7 @@
 Micros longest_deadline(const Config& c) {
   Micros longest = 0;
   for (const auto& one : c.settings.classes) longest = std::max(longest, one.deadline);
-  return std::min(longest, kLongestWait);
+  return std::min(longest, kMaxDeadline);
 }
 
 }  // namespace
@@ -80,22 +81,23 @@
       config_(config),
       log_(log),
       pools_(config_, *this, io.now()),
-      core_({io, config_, pools_, timers_, feed_, clients_, servers_, recorder_, figures_, guard_},
+      core_({io, config_, pools_, timers_, feed_, clients_, servers_, recorder_, metrics_,
+             invariants_},
             table_bounds(config)),
-      clients_(io, core_, client_limits(config), &guard_),
+      clients_(io, core_, client_limits(config), &invariants_),
       servers_(io, core_, server_limits(config), &config_.settings.report_fields, recorder_),
-      discovery_(io, config.discovery, config.initial_hosts.version, terms_of(config.settings),
-                 config.seed, *this, log),
-      operations_(io, config_, figures_, *this, log),
+      discovery_(io, config.discovery, config.initial_hosts.version,
+                 watch_timing_of(config.settings), config.seed, *this, log),
+      operations_(io, config_, metrics_, *this, log),
       alarm_(io.alarm([this] { armed_at_ = 0; })),  // run() rings what is due
-      stop_alarm_(io.alarm([this] { stop_step(); })),
-      change_over_alarm_(io.alarm([this] { retune(next_settings_); })) {
-  for (const auto& c : config_.settings.classes) figures_.add_class(c.name);
+      stop_alarm_(io.alarm([this] { advance_shutdown(); })),
+      settings_transition_alarm_(io.alarm([this] { update_settings(next_settings_); })) {
+  for (const auto& c : config_.settings.classes) metrics_.add_class(c.name);
   if (!config.initial_hosts.fault.empty())
     log.write(io.now(), Log::Level::kWarn, "known-bad-list",
               "known: " + config.initial_hosts.fault);
-  guard_.on_violation([this](const core::Violation& v) { tell_violation(v); });
-  servers_.take_list(config_.initial_hosts);
+  invariants_.on_violation([this](const core::Violation& v) { log_violation(v); });
+  servers_.update_hosts(config_.initial_hosts);
   discovery_.start();
   operations_.start();
 }
@@ -106,7 +108,7 @@
     error = "no address: '" + config_.listen + "'";
     return false;
   }
-  guard_.on_start(operations_.bans_known());
+  invariants_.on_start(operations_.bans_known());
   if (config_.accept_fd < 0) return clients_.listen(*address, error);
   if (!clients_.adopt(config_.accept_fd, error)) return false;
   // Another process may have served until now: what it was told binds this one at once, and the
@@ -126,13 +128,13 @@
 void Router::apply_model(core::config::Model model) {
   // A file without routes leaves requests to the whole list, as no file does.
   bool routes = !model.routes.empty();
-  if (!routes && !traffic_) return;
+  if (!routes && !traffic_policy_) return;
   // What is held of the list may be as old as the start, unless it is the start.
-  if (!traffic_ && running_) discovery_.fetch();
-  traffic_ = std::make_shared<core::TrafficPolicy>(std::move(model), traffic_.get());
-  pools_.operate(traffic_);
-  core_.operate(routes ? traffic_ : nullptr);
-  servers_.take_list(pools_.whole_list());
+  if (!traffic_policy_ && running_) discovery_.fetch();
+  traffic_policy_ = std::make_shared<core::TrafficPolicy>(std::move(model), traffic_policy_.get());
+  pools_.set_traffic_policy(traffic_policy_);
+  core_.set_traffic_policy(routes ? traffic_policy_ : nullptr);
+  servers_.update_hosts(pools_.whole_list());
   record_serving_change();
 }
 
@@ -141,16 +143,17 @@
   core_.on_alert(std::move(alert));
 }
 
-void Router::attach_activity_recorder(core::audit::ActivityRecorder& account, Micros every) {
-  account_ = &account;
-  account_every_ = every;
-  servers_.attach_activity_recorder(account);
-  core_.attach_activity_recorder(account);
-  account_alarm_ = io_.alarm([this] {
-    account_->tick(io_.now());
-    account_alarm_->set(account_every_);
+void Router::attach_activity_recorder(core::audit::ActivityRecorder& activity_recorder,
+                                      Micros every) {
+  activity_recorder_ = &activity_recorder;
+  activity_period_ = every;
+  servers_.attach_activity_recorder(activity_recorder);
+  core_.attach_activity_recorder(activity_recorder);
+  activity_alarm_ = io_.alarm([this] {
+    activity_recorder_->tick(io_.now());
+    activity_alarm_->set(activity_period_);
   });
-  account_alarm_->set(account_every_);
+  activity_alarm_->set(activity_period_);
   record_serving_change();
 }
 
@@ -158,38 +161,38 @@
   running_ = true;
   while (!done_) {
     do {
-      ring();
-      settle();
+      run_due_timers();
+      deliver_events();
       // Requests go on before answers go back: they have the longer way.
       servers_.flush();
       clients_.flush();
       io_.update_time();
     } while (!feed_.empty() || servers_.dirty() || clients_.dirty());
-    arm();
+    arm_timer();
     io_.run_once();
     if (on_each_iteration_) on_each_iteration_();
   }
-  if (account_) account_->tick(io_.now());
+  if (activity_recorder_) activity_recorder_->tick(io_.now());
 }
 
 void Router::stop() {
   if (stopping_since_) return;
   stopping_since_ = io_.now();
   // What waits at a shared listener is another process's; what waits at our own nobody else takes.
-  stop_alarm_->set(config_.accept_fd < 0 ? kStopListening : 0);
+  stop_alarm_->set(config_.accept_fd < 0 ? kStopListeningAfter : 0);
 }
 
-void Router::stop_step() {
+void Router::advance_shutdown() {
   clients_.drain();
-  Micros late = io_.now() - stopping_since_ - longest_deadline(config_) - kStopSlack;
+  Micros late = io_.now() - stopping_since_ - longest_deadline(config_) - kShutdownMargin;
   if (late > 0) {
     core_.fail_all();
-    clients_.end_all();
+    clients_.close_all();
   }
   bool nothing_left =
       core_.table().size() == 0 && clients_.connections() == 0 && !clients_.listens();
-  done_ = late > kStopLinger || nothing_left;
-  if (!done_) stop_alarm_->set(kStopStep);
+  done_ = late > kShutdownLinger || nothing_left;
+  if (!done_) stop_alarm_->set(kStopPollInterval);
 }
 
 bool Router::reload(const Config& config) {
@@ -211,7 +214,7 @@
   if (config.operator_listen != config_.operator_listen) differs("operator");
   // What is there now may itself be a change-over; the classes of both are taken until its end.
   try {
-    retune(core::ops::strictest_of(config_.settings, config.settings));
+    update_settings(core::ops::strictest_of(config_.settings, config.settings));
   } catch (const std::invalid_argument& e) {
     log_.write(now, Log::Level::kError, "reload-bad-settings",
                std::string("reload: settings: ") + e.what() + "; the old ones are kept",
@@ -219,14 +222,14 @@
     return false;
   }
   next_settings_ = config.settings;  // not before they are known to be good
-  change_over_alarm_->set(core::ops::kSettingsTransition);
+  settings_transition_alarm_->set(core::ops::kSettingsTransition);
   config_.connection_settings = config.connection_settings;
-  servers_.retune(server_limits(config));
-  core_.retune(table_bounds(config_));
+  servers_.update_limits(server_limits(config));
+  core_.update_bounds(table_bounds(config_));
   config_.paths = config.paths;
   log_.write(now, Log::Level::kInfo, "reload-discovery", "reload: discovery at " + config.discovery,
              {{"address", address}});
-  discovery_.use(terms_of(config.settings));
+  discovery_.use(watch_timing_of(config.settings));
   if (config.discovery != config_.discovery) {
     config_.discovery = config.discovery;
     discovery_.move(config.discovery);
@@ -234,13 +237,13 @@
   return true;
 }
 
-void Router::retune(const violetusher::Settings& settings) {
-  pools_.retune(settings);
+void Router::update_settings(const violetusher::Settings& settings) {
+  pools_.update_settings(settings);
   config_.settings = settings;
-  for (const auto& c : settings.classes) figures_.add_class(c.name);
+  for (const auto& c : settings.classes) metrics_.add_class(c.name);
 }
 
-void Router::tell_violation(const core::Violation& v) {
+void Router::log_violation(const core::Violation& v) {
   std::string name = core::name_of(v.invariant), request = std::to_string(v.request);
   std::string list = list_version();
   log_.write(io_.now(), Log::Level::kError, "invariant-broken",
@@ -255,12 +258,12 @@
 
 core::ops::Metrics::Gauges Router::current_figures() {
   core::ops::Metrics::Gauges now;
-  now.guard = &guard_;
+  now.guard = &invariants_;
   now.concurrent = core_.unanswered();
   now.dispatches = servers_.written();
   now.targets = operations_.hosts().size();
   now.list_age_ms = discovery_.age() / kMillisecond;
-  const violetusher::Balancer& whole = *pools_.find(PoolSet::kWhole)->balancer;
+  const violetusher::Balancer& whole = *pools_.find(PoolSet::kWholeList)->balancer;
   operations_.hosts().each([&](const Host& host) {
     now.targets_disabled += host.server.health != violetusher::Health::Ready ||
                             whole.live_fraction(host.server.id) <= 0;
@@ -270,7 +273,7 @@
 
 // ---- timers ----
 
-void Router::arm() {
+void Router::arm_timer() {
   auto next = timers_.next();
   if (!next || (armed_at_ && armed_at_ <= *next)) return;
   armed_at_ = *next;
@@ -278,34 +281,34 @@
   alarm_->set(std::max<Micros>(armed_at_ - io_.now(), 0));
 }
 
-void Router::ring() {
+void Router::run_due_timers() {
   Micros now = io_.now();
-  Timers::Task due;
-  while (timers_.pop_due(now, due)) {
-    if (due.kind == Timers::Task::Kind::kModule)
-      feed_.push(TimerEvent{due.module, due.token});
+  Timers::Task task;
+  while (timers_.pop_due(now, task)) {
+    if (task.kind == Timers::Task::Kind::kModule)
+      feed_.push(TimerEvent{task.module, task.token});
     else
-      core_.expire(due);
+      core_.on_timer(task);
   }
 }
 
 // ---- modules ----
 
-void Router::settle() {
+void Router::deliver_events() {
   while (!feed_.empty()) {
-    ModuleEvent& event = feed_.take();
+    ModuleEvent& event = feed_.pop();
     std::uint32_t number = std::visit([](const auto& e) { return e.module; }, event);
     // None for its last timer, or a list that came too late for it.
     if (PoolSet::Module* module = pools_.find(number))
-      perform(number, tell(*module->balancer, event));
-    if (auto* e = std::get_if<OutcomeEvent>(&event)) core_.told(e->outcome.id);
-    if (auto* e = std::get_if<GoneEvent>(&event)) core_.told(e->id);
-    if (auto* e = std::get_if<FirstEvent>(&event)) core_.told(e->id);
+      apply_actions(number, deliver(*module->balancer, event));
+    if (auto* e = std::get_if<OutcomeEvent>(&event)) core_.on_event_delivered(e->outcome.id);
+    if (auto* e = std::get_if<DisconnectEvent>(&event)) core_.on_event_delivered(e->id);
+    if (auto* e = std::get_if<StreamBeginEvent>(&event)) core_.on_event_delivered(e->id);
   }
-  pools_.free_gone(io_.now());  // once a turn: no call of a module is under way
+  pools_.free_modules(io_.now());  // once a turn: no call of a module is under way
 }
 
-const violetusher::Actions& Router::tell(violetusher::Balancer& balancer, ModuleEvent& event) {
+const violetusher::Actions& Router::deliver(violetusher::Balancer& balancer, ModuleEvent& event) {
   Micros now = io_.now();
   if (auto* e = std::get_if<OutcomeEvent>(&event)) {
     e->outcome.finished = core_.finished(e->outcome.id);
@@ -314,24 +317,25 @@
   if (auto* e = std::get_if<RequestEvent>(&event)) {
     return core_.describe(e->id, request_) ? balancer.on_request(now, request_) : kNoActions;
   }
-  if (auto* e = std::get_if<GoneEvent>(&event)) return balancer.on_client_disconnect(now, e->id);
-  if (auto* e = std::get_if<FirstEvent>(&event))
+  if (auto* e = std::get_if<DisconnectEvent>(&event))
+    return balancer.on_client_disconnect(now, e->id);
+  if (auto* e = std::get_if<StreamBeginEvent>(&event))
     return balancer.on_response_start(now, e->id, e->server, e->attempt, e->latency);
   if (auto* e = std::get_if<ListEvent>(&event)) return balancer.on_list(now, e->scope, e->servers);
   if (auto* e = std::get_if<TimerEvent>(&event)) return balancer.on_timer(now, e->token);
   return balancer.start(now);
 }
 
-void Router::perform(std::uint32_t module, const violetusher::Actions& actions) {
+void Router::apply_actions(std::uint32_t module, const violetusher::Actions& actions) {
   for (const violetusher::Action& action : actions) {
     if (auto* a = std::get_if<violetusher::Send>(&action)) core_.send(*a);
     if (auto* a = std::get_if<violetusher::Refuse>(&action)) core_.refuse(*a);
     if (auto* a = std::get_if<violetusher::Fail>(&action)) core_.fail(*a);
     if (auto* a = std::get_if<violetusher::Cancel>(&action)) core_.cancel(*a);
-    if (auto* a = std::get_if<violetusher::Timer>(&action)) core_.remind(module, *a);
+    if (auto* a = std::get_if<violetusher::Timer>(&action)) core_.set_module_timer(module, *a);
     // The list is asked for on behalf of all pools by the one that has all of it. A module's Probe
     // is let be: no site that the module was made for allows it.
-    if (module != PoolSet::kWhole) continue;
+    if (module != PoolSet::kWholeList) continue;
     if (std::holds_alternative<violetusher::Watch>(action)) discovery_.watch();
     if (std::holds_alternative<violetusher::Fetch>(action)) discovery_.fetch();
   }
--- a/src/net/router.hpp
+++ b/src/net/router.hpp
@@ -45,7 +45,7 @@
   /// differs needs a restart and is logged. False, with the old one kept, where it can't be used.
   bool reload(const Config& config);
   /// A reload has come to its end; for the figures.
-  void record_reload(bool accepted) { figures_.count_reload(accepted); }
+  void record_reload(bool accepted) { metrics_.count_reload(accepted); }
   /// Takes over an operator file's model, at the start or while running: what comes from now on
   /// goes by it. Requests that are open finish on the route and in the pool that they began with;
   /// pools that are gone end with their last request.
@@ -59,15 +59,15 @@
 
   /// Tells `account`, which outlives the router, what is done and on what; it closes a period each
   /// `every`.
-  void attach_activity_recorder(core::audit::ActivityRecorder& account, Micros every);
+  void attach_activity_recorder(core::audit::ActivityRecorder& activity_recorder, Micros every);
   /// Something that requests are served by has changed, besides the list.
   void record_serving_change() {
-    if (account_) account_->changed(io_.now());
+    if (activity_recorder_) activity_recorder_->changed(io_.now());
   }
 
   /// Servers out and back are the fleet's matter from now on; see Operations::use().
-  void use(Operations::FleetBans& promises) { operations_.use_fleet_bans(promises); }
-  void set_bans(const std::set<std::string>& out) { operations_.apply_bans(out); }
+  void use(Operations::FleetBans& fleet_bans) { operations_.use_fleet_bans(fleet_bans); }
+  void set_bans(const std::set<std::string>& banned) { operations_.apply_bans(banned); }
 
   const Config& config() const { return config_; }
   /// Of the list of servers in use, as discovery named it.
@@ -81,7 +81,7 @@
   std::uint64_t discovery_calls() const { return discovery_.calls(); }
   std::size_t pools() const { return pools_.modules(); }
   std::size_t open_requests() const { return core_.table().size(); }
-  std::size_t max_open_requests() const { return core_.table().most(); }
+  std::size_t max_open_requests() const { return core_.table().max_requests(); }
   std::size_t timers() const { return timers_.size(); }
   std::size_t client_connections() const { return clients_.connections(); }
   std::size_t client_buffered() const { return clients_.buffered(); }
@@ -90,12 +90,13 @@
 
  private:
   // Discovery::Handler
-  void on_hosts(HostList&& list, bool doubted) override {
+  void on_hosts(HostList&& list, bool possibly_stale) override {
     operations_.hosts().on_response(io_.now(), list.date);
-    servers_.take_list(pools_.take(operations_.hosts().apply(std::move(list), doubted)));
+    servers_.update_hosts(
+        pools_.apply_list(operations_.hosts().apply(std::move(list), possibly_stale)));
     record_serving_change();
   }
-  void on_hosts_failed() override { pools_.lists_failed(); }
+  void on_hosts_failed() override { pools_.on_list_failure(); }
   // PoolSet::Handler
   void on_module_start(std::uint32_t module) override { feed_.push(StartEvent{module}); }
   void on_module_list(std::uint32_t module, violetusher::ListScope scope,
@@ -105,27 +106,27 @@
 
   // Operations::Handler
   void on_ban_change(HostList&& change) override {
-    servers_.take_list(pools_.take(std::move(change)));
+    servers_.update_hosts(pools_.apply_list(std::move(change)));
     record_serving_change();
   }
   core::ops::Metrics::Gauges current_figures() override;
 
-  void retune(const violetusher::Settings& settings);
-  void ring();
-  void arm();
+  void update_settings(const violetusher::Settings& settings);
+  void run_due_timers();
+  void arm_timer();
   /// Tells modules what has happened and carries out what they answer, until nothing is left.
-  void settle();
-  const violetusher::Actions& tell(violetusher::Balancer& balancer, ModuleEvent& event);
-  void perform(std::uint32_t module, const violetusher::Actions& actions);
-  void stop_step();
-  void tell_violation(const core::Violation& violation);
+  void deliver_events();
+  const violetusher::Actions& deliver(violetusher::Balancer& balancer, ModuleEvent& event);
+  void apply_actions(std::uint32_t module, const violetusher::Actions& actions);
+  void advance_shutdown();
+  void log_violation(const core::Violation& violation);
 
   Io& io_;
   Config config_;
   Log& log_;
   core::flight::Recorder recorder_;
-  core::ops::Metrics figures_;
-  core::InvariantChecker guard_;
+  core::ops::Metrics metrics_;
+  core::InvariantChecker invariants_;
   Timers timers_;
   ModuleFeed feed_;
   PoolSet pools_;
@@ -134,10 +135,10 @@
   ServerSide servers_;
   Discovery discovery_;
   Operations operations_;
-  std::shared_ptr<core::TrafficPolicy> traffic_;
-  core::audit::ActivityRecorder* account_ = nullptr;
-  Micros account_every_ = 0;
-  std::unique_ptr<Alarm> alarm_, stop_alarm_, change_over_alarm_, account_alarm_;
+  std::shared_ptr<core::TrafficPolicy> traffic_policy_;
+  core::audit::ActivityRecorder* activity_recorder_ = nullptr;
+  Micros activity_period_ = 0;
+  std::unique_ptr<Alarm> alarm_, stop_alarm_, settings_transition_alarm_, activity_alarm_;
   violetusher::Request request_;         // the one that a module is told of
   violetusher::Settings next_settings_;  // from the end of the change-over
   Micros armed_at_ = 0;                  // 0: not set
--- a/src/net/server_connection.cpp
+++ b/src/net/server_connection.cpp
@@ -12,22 +12,22 @@
 // An answer that has begun comes whole within this of its last bytes or never: a line or a value
 // without its end, one whose length doesn't fit, a server that stops in the middle. It might hurt
 // where a path loses packets and repeats them later than this.
-constexpr Micros kPartTime = 60 * kMillisecond;
+constexpr Micros kPartialAnswerTimeout = 60 * kMillisecond;
 // The same of a long value while it may come: servers write them in pieces, over seconds.
-constexpr Micros kLongPartTime = 4 * kSecond;
+constexpr Micros kStreamedValueTimeout = 4 * kSecond;
 // An abandoned attempt's answer is waited for this long, so that its connection can be used again;
 // after that the machine is taken for silent.
-constexpr Micros kAbandonTime = kSecond;
+constexpr Micros kAbandonedAnswerTimeout = kSecond;
 // Bytes of a long value that must have come before its length is believed and it is passed on.
-constexpr std::size_t kBelieved = 16u << 10;
+constexpr std::size_t kMinStreamedBytes = 16u << 10;
 // So long a dial is put off that this machine can't begin: five of them in a row, at five servers,
 // are over before the refusal that follows comes late.
-constexpr Micros kPutOffTime = 15 * kMillisecond;
+constexpr Micros kMaxDialDeferral = 15 * kMillisecond;
 // What the texts of an entry, and of an answer, keep of their memory for the next one.
-constexpr std::size_t kKeptBytes = 1024, kKeptValue = 4096;
+constexpr std::size_t kMaxKeptCommandBytes = 1024, kMaxKeptValueBytes = 4096;
 
-void empty(std::string& text, std::size_t kept) {
-  if (text.capacity() > kept)
+void clear_text(std::string& text, std::size_t max_kept_bytes) {
+  if (text.capacity() > max_kept_bytes)
     std::string().swap(text);
   else
     text.clear();
@@ -51,9 +51,9 @@
   return (std::max<Micros>(end - now, 0) + kMillisecond - 1) / kMillisecond;
 }
 
-bool fits(const ServerConnection::Entry& e, const Answer& answer) {
-  if (answer.kind == Answer::Kind::Value && e.set) return false;
-  if (answer.kind == Answer::Kind::Stored && !e.set) return false;
+bool matches(const ServerConnection::QueuedAttempt& e, const Answer& answer) {
+  if (answer.kind == Answer::Kind::Value && e.is_set) return false;
+  if (answer.kind == Answer::Kind::Stored && !e.is_set) return false;
   if (answer.kind == Answer::Kind::Value || answer.kind == Answer::Kind::Stored)
     return answer.id == e.answer_id;
   return answer.id.empty() || answer.id == e.answer_id;
@@ -61,22 +61,22 @@
 
 }  // namespace
 
-ServerConnection::ServerConnection(ServerSide& side, ServerPool& pool, std::uint32_t number)
+ServerConnection::ServerConnection(ServerSide& side, ServerPool& pool, std::uint32_t id)
     : side_(side),
       pool_(pool),
-      number_(number),
+      id_(id),
       reader_(side.fields_),
-      used_at_(side.io_.now()),
-      dial_until_(used_at_ + side.limits_.dial_timeout),
-      put_off_until_(used_at_ + std::min(side.limits_.dial_timeout, kPutOffTime)) {}
+      last_active_at_(side.io_.now()),
+      dial_until_(last_active_at_ + side.limits_.dial_timeout),
+      defer_until_(last_active_at_ + std::min(side.limits_.dial_timeout, kMaxDialDeferral)) {}
 
 void ServerConnection::on_ready(unsigned what) {
   if (closed_) return;
   if (connecting_) {
-    connected(what);
+    on_connected(what);
     return;
   }
-  if (what & Watch::kWritable) side_.touch(*this);
+  if (what & Watch::kWritable) side_.mark_dirty(*this);
   if (what & Watch::kReadable) read();
 }
 
@@ -88,13 +88,13 @@
   return result;
 }
 
-void ServerConnection::dial_again() {
-  bool over = side_.io_.now() >= put_off_until_;
+void ServerConnection::retry_dial() {
+  bool over = side_.io_.now() >= defer_until_;
   CallResult result = over ? CallResult::kTransientError : dial();
-  if (over || result == CallResult::kPermanentError) side_.failed_dial(*this, result);
+  if (over || result == CallResult::kPermanentError) side_.on_dial_failed(*this, result);
 }
 
-void ServerConnection::connected(unsigned what) {
+void ServerConnection::on_connected(unsigned what) {
   CallResult result =
       what & Watch::kTimeout ? CallResult::kPermanentError : side_.io_.connected(socket_.number());
   Micros now = side_.io_.now();
@@ -102,46 +102,46 @@
     watch_->write_once(dial_until_ - now);
     return;
   }
-  bool up = result == CallResult::kDone;
-  side_.recorder_.record(now, Kind::kDialEnd, 0, -1, number_, 0, pool_.id,
-                         up ? Reason::kNone : Reason::kDial);
-  if (!up) {
-    side_.failed_dial(*this, result);
+  bool established = result == CallResult::kDone;
+  side_.recorder_.record(now, Kind::kDialEnd, 0, -1, id_, 0, pool_.id,
+                         established ? Reason::kNone : Reason::kDial);
+  if (!established) {
+    side_.on_dial_failed(*this, result);
     return;
   }
   connecting_ = false;
   watch_->read(true);
-  side_.touch(*this);
+  side_.mark_dirty(*this);
 }
 
 /// What has waited for the connection or its turn tells the time that is left now, and is not begun
 /// where it comes too late for that.
-void ServerConnection::renew_unsent() {
+void ServerConnection::refresh_unsent() {
   Micros now = side_.io_.now();
   for (std::size_t k = sent_ + (partial_ > 0); k < entries_.size();) {
-    Entry& e = entries_[k];
-    if (e.live && now >= e.until) {
+    QueuedAttempt& e = entries_[k];
+    if (e.live && now >= e.send_before) {
       RequestId id = e.id;
       int attempt = e.attempt;
       entries_.erase(k);
       side_.handler_.on_attempt_end(id, attempt, Status::ConnectFailed, Answer());
       continue;
     }
-    if (now > e.since) e.tell_time_left(now);
+    if (now > e.since) e.update_time_left(now);
     ++k;
   }
 }
 
-void ServerConnection::Entry::tell_time_left(Micros now) {
-  std::string left = std::to_string(left_ms(given_up, now));
-  bytes.replace(figure, figure_end - figure, left);
-  figure_end = figure + left.size();
+void ServerConnection::QueuedAttempt::update_time_left(Micros now) {
+  std::string left = std::to_string(left_ms(deadline, now));
+  bytes.replace(time_left_begin, time_left_end - time_left_begin, left);
+  time_left_end = time_left_begin + left.size();
   size = bytes.size();
 }
 
 void ServerConnection::flush() {
   if (connecting_) return;
-  renew_unsent();
+  refresh_unsent();
   while (sent_ < entries_.size()) {
     iovec parts[64];
     std::size_t count = 0;
@@ -151,51 +151,52 @@
       parts[count++] = {bytes.data() + skip, bytes.size() - skip};
       skip = 0;
     }
-    ssize_t put = side_.io_.send(socket_.number(), parts, count);
-    if (put == Io::kAgain) {
+    ssize_t sent = side_.io_.send(socket_.number(), parts, count);
+    if (sent == Io::kAgain) {
       watch_->write_once();
       return;
     }
-    if (put < 0) {
+    if (sent < 0) {
       side_.close(*this);
       return;
     }
-    partial_ += static_cast<std::size_t>(put);
-    note_begun();
+    partial_ += static_cast<std::size_t>(sent);
+    record_started();
     while (sent_ < entries_.size() && partial_ >= entries_[sent_].size) {
-      Entry& e = entries_[sent_];
+      QueuedAttempt& e = entries_[sent_];
       partial_ -= e.size;
-      empty(e.bytes, kKeptBytes);
+      clear_text(e.bytes, kMaxKeptCommandBytes);
       ++sent_;
       ++side_.written_;
       if (side_.recorder_.on())
-        side_.recorder_.record(side_.io_.now(), Kind::kWritten, e.id, e.attempt, number_);
+        side_.recorder_.record(side_.io_.now(), Kind::kWritten, e.id, e.attempt, id_);
     }
   }
 }
 
 /// An attempt counts from its first byte.
-void ServerConnection::note_begun() {
+void ServerConnection::record_started() {
   std::size_t at = 0;
   for (std::size_t k = sent_; k < entries_.size() && at < partial_; ++k) {
-    Entry& e = entries_[k];
+    QueuedAttempt& e = entries_[k];
     at += e.size;
-    if (std::exchange(e.begun, true)) continue;
-    if (side_.account_) side_.account_->sent(pool_.id, e.type);
-    side_.handler_.on_attempt_written(e.id, e.attempt, pool_.wanted, e.given_up);
+    if (std::exchange(e.started, true)) continue;
+    if (side_.activity_recorder_) side_.activity_recorder_->sent(pool_.id, e.type);
+    side_.handler_.on_attempt_written(e.id, e.attempt, pool_.available, e.deadline);
   }
 }
 
 void ServerConnection::read() {
-  ssize_t got = side_.io_.recv(socket_.number(), side_.scratch_.get(), ServerSide::kScratch);
+  ssize_t got =
+      side_.io_.recv(socket_.number(), side_.read_buffer_.get(), ServerSide::kReadBufferBytes);
   if (got == Io::kAgain) return;
   if (got <= 0) {
-    ended_by_peer_ = true;
+    closed_by_peer_ = true;
     side_.close(*this);
     return;
   }
-  read_at_ = used_at_ = side_.io_.now();
-  std::string_view in(side_.scratch_.get(), static_cast<std::size_t>(got));
+  last_read_at_ = last_active_at_ = side_.io_.now();
+  std::string_view in(side_.read_buffer_.get(), static_cast<std::size_t>(got));
   Answer& answer = side_.answer_;
   while (!closed_) {
     AnswerReader::Got what = reader_.take(in, answer);
@@ -204,7 +205,7 @@
     // longer agree on what belongs to what: nothing more from this connection may be believed.
     bool head = what == AnswerReader::Got::Begin || what == AnswerReader::Got::Answer;
     if (what == AnswerReader::Got::Broken || sent_ == 0 ||
-        (head && !fits(entries_.front(), answer))) {
+        (head && !matches(entries_.front(), answer))) {
       side_.close(*this);
       return;
     }
@@ -213,101 +214,101 @@
       continue;
     }
     if (what == AnswerReader::Got::Piece) {
-      take_piece(reader_.piece());
+      on_value_piece(reader_.piece());
       continue;
     }
-    kept_ = true;
-    long_ = false;
+    has_answered_ = true;
+    streaming_ = false;
     bool last = answer.close_after;
-    const Entry& done = entries_.front();
+    const QueuedAttempt& done = entries_.front();
     RequestId id = done.id;
     int attempt = done.attempt;
     bool live = done.live;
     entries_.pop_front();
     --sent_;
     if (live) side_.handler_.on_attempt_end(id, attempt, status_of(answer), std::move(answer));
-    empty(answer.value, kKeptValue);
+    clear_text(answer.value, kMaxKeptValueBytes);
     if (last) {
       side_.close(*this);
       return;
     }
   }
   // So does the beginning of an answer that nobody asked for.
-  if ((sent_ == 0 && reader_.in_answer()) || (entries_.empty() && retiring_))
+  if ((sent_ == 0 && reader_.in_answer()) || (entries_.empty() && draining_))
     side_.close(*this);
   else
-    side_.serve_put_off(pool_);
+    side_.reassign_deferred(pool_);
 }
 
 /// A long value is passed on once more of it has come than answers whose length is a lie bring:
 /// until then it can still be a failed attempt, and tried elsewhere.
-void ServerConnection::take_piece(std::string_view piece) {
-  Entry& e = entries_.front();
-  if (!long_) {
-    early_.append(piece);
-    if (early_.size() < kBelieved) return;
-    long_ = true;
-    std::string first = std::exchange(early_, std::string());
-    if (e.live) e.live = side_.handler_.on_attempt_begin(e.id, e.attempt, head_);
-    if (e.live) pass(first);
+void ServerConnection::on_value_piece(std::string_view piece) {
+  QueuedAttempt& e = entries_.front();
+  if (!streaming_) {
+    unconfirmed_value_.append(piece);
+    if (unconfirmed_value_.size() < kMinStreamedBytes) return;
+    streaming_ = true;
+    std::string first = std::exchange(unconfirmed_value_, std::string());
+    if (e.live) e.live = side_.handler_.on_stream_begin(e.id, e.attempt, head_);
+    if (e.live) forward(first);
     // Neighbours are not taken along: for them it is read and dropped.
-    if (!e.live && forsaken()) side_.close(*this);
+    if (!e.live && abandoned()) side_.close(*this);
   } else if (e.live) {
-    pass(piece);
+    forward(piece);
   }
 }
 
-void ServerConnection::pass(std::string_view piece) {
-  const Entry& e = entries_.front();
-  if (side_.handler_.on_attempt_piece(e.id, e.attempt, piece)) return;
+void ServerConnection::forward(std::string_view piece) {
+  const QueuedAttempt& e = entries_.front();
+  if (side_.handler_.on_stream_data(e.id, e.attempt, piece)) return;
   paused_ = true;
   watch_->read(false);
 }
 
-void ServerConnection::go_on() {
+void ServerConnection::resume() {
   paused_ = false;
-  read_at_ = side_.io_.now();  // the time until the next piece counts from here
+  last_read_at_ = side_.io_.now();  // the time until the next piece counts from here
   watch_->read(true);
 }
 
-bool ServerConnection::forsaken() const {
+bool ServerConnection::abandoned() const {
   for (std::size_t k = 0; k < entries_.size(); ++k)
-    if (entries_[k].live && !entries_[k].overdue) return false;
+    if (entries_[k].live && !entries_[k].timed_out) return false;
   return true;
 }
 
-void ServerConnection::queue(RequestId id, int attempt, const Command& command, Micros given_up,
-                             Micros until) {
-  Entry& e = entries_.push();
+void ServerConnection::queue(RequestId id, int attempt, const Command& command, Micros deadline,
+                             Micros send_before) {
+  QueuedAttempt& e = entries_.push();
   e.id = id;
   e.attempt = attempt;
   e.live = true;
-  e.overdue = false;
-  e.set = command.set;
-  e.begun = false;
-  e.type = side_.account_ ? side_.account_->type_of(command.type) : 0;
+  e.timed_out = false;
+  e.is_set = command.set;
+  e.started = false;
+  e.type = side_.activity_recorder_ ? side_.activity_recorder_->type_of(command.type) : 0;
   e.answer_id = command.id;
   e.bytes.clear();
-  e.since = used_at_ = side_.io_.now();
-  e.given_up = given_up;
-  e.until = until;
-  protocol::append_command(e.bytes, command, left_ms(given_up, e.since));
+  e.since = last_active_at_ = side_.io_.now();
+  e.deadline = deadline;
+  e.send_before = send_before;
+  protocol::append_command(e.bytes, command, left_ms(deadline, e.since));
   e.size = e.bytes.size();
-  e.figure = command.head.size();
-  e.figure_end = e.size - command.tail.size() - (command.set ? command.value.size() + 4 : 2);
-  side_.touch(*this);
+  e.time_left_begin = command.head.size();
+  e.time_left_end = e.size - command.tail.size() - (command.set ? command.value.size() + 4 : 2);
+  side_.mark_dirty(*this);
 }
 
-void ServerConnection::take_over(Entry&& entry) {
-  side_.recorder_.record(side_.io_.now(), Kind::kMoved, entry.id, entry.attempt, number_,
+void ServerConnection::take_over(QueuedAttempt&& entry) {
+  side_.recorder_.record(side_.io_.now(), Kind::kMoved, entry.id, entry.attempt, id_,
                          static_cast<std::int64_t>(entries_.size()), pool_.id);
   entries_.push() = std::move(entry);
-  side_.touch(*this);
+  side_.mark_dirty(*this);
 }
 
 void ServerConnection::drop_unsent(Micros since) {
   while (entries_.size() > sent_ + (partial_ > 0) && entries_.back().since < since) {
-    const Entry& e = entries_.back();
+    const QueuedAttempt& e = entries_.back();
     RequestId id = e.id;
     int attempt = e.attempt;
     bool live = e.live;
@@ -316,13 +317,14 @@
   }
 }
 
-bool ServerConnection::overdue(Micros now) const {
+bool ServerConnection::timed_out(Micros now) const {
   if (entries_.empty()) return false;
-  const Entry& head = entries_.front();
-  bool silent = !head.live && now - std::max(head.since, used_at_) > kAbandonTime;
-  bool broke_off =
-      reader_.in_answer() && !paused_ && now - read_at_ > (long_ ? kLongPartTime : kPartTime);
-  return silent || broke_off;
+  const QueuedAttempt& head = entries_.front();
+  bool silent = !head.live && now - std::max(head.since, last_active_at_) > kAbandonedAnswerTimeout;
+  bool incomplete =
+      reader_.in_answer() && !paused_ &&
+      now - last_read_at_ > (streaming_ ? kStreamedValueTimeout : kPartialAnswerTimeout);
+  return silent || incomplete;
 }
 
 }  // namespace violetusher::net
--- a/src/net/server_side.cpp
+++ b/src/net/server_side.cpp
@@ -14,13 +14,13 @@
 // What a server does right behind an answer, be it a close, a second copy or noise, shows within
 // this. Until then the connection is used for another request only where there is no other idle
 // one.
-constexpr Micros kSettleTime = 3 * kMillisecond;
+constexpr Micros kReuseDelay = 3 * kMillisecond;
 // No dial to a server that just refused one while it has connections that work.
-constexpr Micros kDialPause = kSecond / 5;
-constexpr Micros kSweep = kSecond / 50;
+constexpr Micros kDialBackoff = kSecond / 5;
+constexpr Micros kSweepInterval = kSecond / 50;
 // A dial that has not ended so long after its limit is not watched by the system, which was out of
 // something when it was asked to.
-constexpr Micros kUnarmedDial = 2 * kSweep;
+constexpr Micros kUnwatchedDialTimeout = 2 * kSweepInterval;
 
 }  // namespace
 
@@ -33,66 +33,66 @@
       fields_(fields),
       recorder_(recorder),
       sweep_alarm_(io.alarm([this] {
-        sweep_alarm_->set(kSweep);
+        sweep_alarm_->set(kSweepInterval);
         sweep();
       })),
-      scratch_(std::make_unique<char[]>(kScratch)) {
-  sweep_alarm_->set(kSweep);
+      read_buffer_(std::make_unique<char[]>(kReadBufferBytes)) {
+  sweep_alarm_->set(kSweepInterval);
 }
 
 ServerSide::~ServerSide() = default;
 
-void ServerSide::take_list(const HostList& list) {
+void ServerSide::update_hosts(const HostList& list) {
   if (list.whole)
-    for (auto& [id, pool] : pools_) pool->listed = pool->wanted = false;
+    for (auto& [id, pool] : pools_) pool->listed = pool->available = false;
   for (const Host& host : list.hosts) {
-    bool gone = host.server.health == violetusher::Health::Removed;
+    bool removed = host.server.health == violetusher::Health::Removed;
     auto at = pools_.find(host.server.id);
     if (at == pools_.end()) {
-      if (gone) continue;
+      if (removed) continue;
       at = pools_.emplace(host.server.id, std::make_unique<ServerPool>()).first;
       at->second->id = host.server.id;
     }
     ServerPool& pool = *at->second;
     // Another process, or another place: what is open leads to the old one.
-    bool moved = !gone && (pool.dial != host.dial || pool.born != host.server.up_since);
+    bool moved = !removed && (pool.dial != host.dial || pool.started_at != host.server.up_since);
     if (moved) {
       pool.dial = host.dial;
-      pool.born = host.server.up_since;
+      pool.started_at = host.server.up_since;
       pool.address = parse_address(host.dial);
       pool.no_dial_until = 0;
-      for (auto& c : pool.connections) c->retiring_ = true;
+      for (auto& c : pool.connections) c->draining_ = true;
     }
-    pool.listed = !gone;
-    pool.wanted = host.server.health == violetusher::Health::Ready;
+    pool.listed = !removed;
+    pool.available = host.server.health == violetusher::Health::Ready;
   }
   // A send counts from its first byte: what has none yet does not go to a server that is told to
   // leave, or to the place that it left, however long it has waited for a connection or its turn.
-  Micros all = io_.now() + 1;
+  Micros any_time = io_.now() + 1;
   for (auto& [id, pool] : pools_) {
     for (auto& c : pool->connections) {
-      c->retiring_ |= !pool->wanted;
-      if (c->retiring_) c->drop_unsent(all);
+      c->draining_ |= !pool->available;
+      if (c->draining_) c->drop_unsent(any_time);
     }
   }
-  if (account_)
-    for (auto& [id, pool] : pools_) account_->set_serving(id, pool->wanted);
+  if (activity_recorder_)
+    for (auto& [id, pool] : pools_) activity_recorder_->set_serving(id, pool->available);
   sweep();
 }
 
-void ServerSide::attach_activity_recorder(core::audit::ActivityRecorder& account) {
-  account_ = &account;
-  for (auto& [id, pool] : pools_) account_->set_serving(id, pool->wanted);
+void ServerSide::attach_activity_recorder(core::audit::ActivityRecorder& activity_recorder) {
+  activity_recorder_ = &activity_recorder;
+  for (auto& [id, pool] : pools_) activity_recorder_->set_serving(id, pool->available);
 }
 
 ServerConnection* ServerSide::dial(ServerPool& pool) {
   if (!pool.address) return nullptr;
-  auto fresh = std::make_unique<ServerConnection>(*this, pool, next_connection_);
-  CallResult result = fresh->dial();
+  auto connection = std::make_unique<ServerConnection>(*this, pool, next_connection_id_);
+  CallResult result = connection->dial();
   if (result == CallResult::kPermanentError) return nullptr;
-  dials_put_off_ |= result != CallResult::kDone;
-  recorder_.record(io_.now(), Kind::kDial, 0, -1, next_connection_++, 0, pool.id);
-  pool.connections.push_back(std::move(fresh));
+  dials_deferred_ |= result != CallResult::kDone;
+  recorder_.record(io_.now(), Kind::kDial, 0, -1, next_connection_id_++, 0, pool.id);
+  pool.connections.push_back(std::move(connection));
   ++total_;
   return pool.connections.back().get();
 }
@@ -100,17 +100,17 @@
 /// The connection for one more attempt: of the idle ones that have settled the last used, else a
 /// new one, else the one with the least before it. Answers come in order, so waiting behind another
 /// costs its whole service time; a dial costs a round trip or two.
-ServerConnection* ServerSide::pick(ServerPool& pool) {
-  Micros settled = io_.now() - kSettleTime;
+ServerConnection* ServerSide::pick_connection(ServerPool& pool) {
+  Micros settled = io_.now() - kReuseDelay;
   auto better = [&](const ServerConnection& a, const ServerConnection& b) {
-    bool a_fresh = a.used_at_ > settled, b_fresh = b.used_at_ > settled;
+    bool a_fresh = a.last_active_at_ > settled, b_fresh = b.last_active_at_ > settled;
     if (a_fresh != b_fresh) return b_fresh;
-    return a_fresh ? a.used_at_ < b.used_at_ : a.used_at_ > b.used_at_;
+    return a_fresh ? a.last_active_at_ < b.last_active_at_ : a.last_active_at_ > b.last_active_at_;
   };
   while (true) {
     ServerConnection* idle = nullptr;
     for (auto& c : pool.connections)
-      if (c->idle() && !c->retiring_ && (!idle || better(*c, *idle))) idle = c.get();
+      if (c->idle() && !c->draining_ && (!idle || better(*c, *idle))) idle = c.get();
     if (!idle) break;
     // Looked at each time: what came behind the last answer, be it an end or bytes that nobody
     // asked for, would be taken for the answer to this one.
@@ -118,20 +118,20 @@
     close(*idle);
   }
   for (auto& c : pool.connections)  // dialled for a request that has ended since
-    if (c->connecting_ && c->entries_.empty() && !c->retiring_) return c.get();
+    if (c->connecting_ && c->entries_.empty() && !c->draining_) return c.get();
   bool may_dial = io_.now() >= pool.no_dial_until || pool.connections.empty();
-  ServerConnection* fresh = may_dial && make_room(pool) ? dial(pool) : nullptr;
-  if (fresh && fresh->socket_) return fresh;
+  ServerConnection* connection = may_dial && make_room(pool) ? dial(pool) : nullptr;
+  if (connection && connection->socket_) return connection;
   // A dial that this machine has put off takes what nothing else can.
-  ServerConnection* busy = least_loaded(pool, Dialling::kCounts);
-  return busy ? busy : fresh;
+  ServerConnection* busy = least_loaded(pool, Connecting::kInclude);
+  return busy ? busy : connection;
 }
 
-ServerConnection* ServerSide::least_loaded(ServerPool& pool, Dialling dialling) const {
+ServerConnection* ServerSide::least_loaded(ServerPool& pool, Connecting connecting) const {
   ServerConnection* best = nullptr;
   for (auto& c : pool.connections)
-    if (!c->closed_ && c->socket_ && !c->retiring_ && !c->long_ &&
-        (dialling == Dialling::kCounts || !c->connecting_) &&
+    if (!c->closed_ && c->socket_ && !c->draining_ && !c->streaming_ &&
+        (connecting == Connecting::kInclude || !c->connecting_) &&
         (c->entries_.empty() || c->entries_.front().live) &&
         c->entries_.size() < static_cast<std::size_t>(limits_.streams) &&
         (!best || c->entries_.size() < best->entries_.size()))
@@ -143,38 +143,39 @@
   if (pool.connections.size() >= limits_.table.max_open) {
     // One that only waits for answers nobody wants makes room.
     auto at = std::find_if(pool.connections.begin(), pool.connections.end(),
-                           [](const auto& c) { return c->forsaken(); });
+                           [](const auto& c) { return c->abandoned(); });
     if (at == pool.connections.end()) return false;
     close(**at);
   }
   if (total_ < limits_.connections) return true;
   // Else the one that has stood unused for longest, whichever server it leads to: in a large fleet
   // the servers of rare keys would keep those of popular ones from having any.
-  ServerConnection* unused = nullptr;
+  ServerConnection* least_recent = nullptr;
   for (auto& [id, other] : pools_)
     for (auto& c : other->connections)
-      if (!c->connecting_ && c->forsaken() && (!unused || c->used_at_ < unused->used_at_))
-        unused = c.get();
-  if (unused) close(*unused);
-  return unused != nullptr;
+      if (!c->connecting_ && c->abandoned() &&
+          (!least_recent || c->last_active_at_ < least_recent->last_active_at_))
+        least_recent = c.get();
+  if (least_recent) close(*least_recent);
+  return least_recent != nullptr;
 }
 
 void ServerSide::send(const std::string& server, RequestId id, int attempt, const Command& command,
-                      Micros given_up, Micros until) {
+                      Micros deadline, Micros send_before) {
   auto at = pools_.find(server);
   // A decision may be as old as the list that came behind it in the same turn.
-  bool wanted = at != pools_.end() && at->second->wanted;
-  ServerConnection* c = wanted ? pick(*at->second) : nullptr;
+  bool server_available = at != pools_.end() && at->second->available;
+  ServerConnection* c = server_available ? pick_connection(*at->second) : nullptr;
   if (!c) {
-    auto have = at == pools_.end() ? 0 : at->second->connections.size();
+    auto open_connections = at == pools_.end() ? 0 : at->second->connections.size();
     recorder_.record(io_.now(), Kind::kNoConnection, id, attempt, 0,
-                     static_cast<std::int64_t>(have), server);
+                     static_cast<std::int64_t>(open_connections), server);
     handler_.on_attempt_end(id, attempt, Status::ConnectFailed, Answer());
     return;
   }
   auto before = static_cast<std::int64_t>(c->entries_.size());
-  c->queue(id, attempt, command, given_up, until);
-  recorder_.record(c->used_at_, Kind::kSent, id, attempt, c->number_, before, server);
+  c->queue(id, attempt, command, deadline, send_before);
+  recorder_.record(c->last_active_at_, Kind::kSent, id, attempt, c->id_, before, server);
 }
 
 std::pair<ServerConnection*, std::size_t> ServerSide::find(const std::string& server, RequestId id,
@@ -182,34 +183,34 @@
   if (auto at = pools_.find(server); at != pools_.end())
     for (auto& c : at->second->connections)
       for (std::size_t k = 0; k < c->entries_.size(); ++k) {
-        const ServerConnection::Entry& e = c->entries_[k];
+        const ServerConnection::QueuedAttempt& e = c->entries_[k];
         if (e.live && e.id == id && e.attempt == attempt) return {c.get(), k};
       }
   return {nullptr, 0};
 }
 
 bool ServerSide::withdraw(const std::string& server, RequestId id, int attempt) {
-  auto [c, place] = find(server, id, attempt);
-  if (!c || c->begun(place)) return false;
-  c->entries_.erase(place);
+  auto [c, index] = find(server, id, attempt);
+  if (!c || c->started(index)) return false;
+  c->entries_.erase(index);
   return true;
 }
 
-bool ServerSide::may_give_up(const std::string& server, RequestId id, int attempt) {
-  auto [c, place] = find(server, id, attempt);
-  if (!c || !c->begun(place)) return true;
-  c->entries_[place].overdue = true;
-  return c->forsaken();
+bool ServerSide::may_abandon(const std::string& server, RequestId id, int attempt) {
+  auto [c, index] = find(server, id, attempt);
+  if (!c || !c->started(index)) return true;
+  c->entries_[index].timed_out = true;
+  return c->abandoned();
 }
 
 Status ServerSide::cancel(const std::string& server, RequestId id, int attempt) {
   if (withdraw(server, id, attempt)) return Status::NotSent;
-  auto [c, place] = find(server, id, attempt);
+  auto [c, index] = find(server, id, attempt);
   if (!c) return Status::Cancelled;
-  ServerConnection::Entry& e = c->entries_[place];
+  ServerConnection::QueuedAttempt& e = c->entries_[index];
   e.live = false;
   e.since = io_.now();
-  if (place == c->sent_) {
+  if (index == c->sent_) {
     // Partly written: finishing it would send the request after its end.
     close(*c);
     return Status::NotSent;
@@ -219,10 +220,10 @@
   // servers. It costs a new connection, some milliseconds of the server's work, for nothing where
   // servers go on with waiting work. Neighbours are not taken along: then the answer is read and
   // dropped when it comes.
-  if (c->forsaken())
+  if (c->abandoned())
     close(*c);
   else if (c->paused_)
-    c->go_on();  // read and dropped, for those behind it
+    c->resume();  // read and dropped, for those behind it
   return Status::Cancelled;
 }
 
@@ -231,12 +232,12 @@
   if (at == pools_.end()) return;
   for (auto& c : at->second->connections) {
     if (!c->paused_ || c->entries_.empty()) continue;
-    const ServerConnection::Entry& e = c->entries_.front();
-    if (e.id == id && e.attempt == attempt) c->go_on();
+    const ServerConnection::QueuedAttempt& e = c->entries_.front();
+    if (e.id == id && e.attempt == attempt) c->resume();
   }
 }
 
-void ServerSide::touch(ServerConnection& c) {
+void ServerSide::mark_dirty(ServerConnection& c) {
   if (c.dirty_ || c.closed_) return;
   c.dirty_ = true;
   dirty_.push_back(&c);
@@ -245,15 +246,15 @@
 void ServerSide::close(ServerConnection& c) {
   if (c.closed_) return;
   c.closed_ = true;
-  bool stale = c.kept_ && c.ended_by_peer_ && !c.reader_.in_answer();
+  bool stale = c.has_answered_ && c.closed_by_peer_ && !c.reader_.in_answer();
   Status broken = stale ? Status::StaleConnection : Status::Reset;
   for (std::size_t k = 0; k < c.entries_.size(); ++k) {
-    ServerConnection::Entry& e = c.entries_[k];
+    ServerConnection::QueuedAttempt& e = c.entries_[k];
     if (e.live)
       handler_.on_attempt_end(e.id, e.attempt,
-                              k >= c.sent_ ? Status::ConnectFailed
-                              : e.overdue  ? Status::Timeout
-                                           : broken,
+                              k >= c.sent_  ? Status::ConnectFailed
+                              : e.timed_out ? Status::Timeout
+                                            : broken,
                               Answer());
   }
   c.entries_.clear();
@@ -268,19 +269,19 @@
 
 /// A full connection table refuses new connections while those that are open work: what waited for
 /// the dial goes behind others then. Where there are none, the server can't be reached.
-void ServerSide::failed_dial(ServerConnection& c, CallResult why) {
+void ServerSide::on_dial_failed(ServerConnection& c, CallResult why) {
   bool refused = why != CallResult::kTransientError;
   if (refused) {
-    c.pool_.no_dial_until = io_.now() + kDialPause;
-    c.pool_.keep.on_refused();
+    c.pool_.no_dial_until = io_.now() + kDialBackoff;
+    c.pool_.idle_budget.on_refused();
   }
-  RecycledQueue<ServerConnection::Entry> waiting;
+  RecycledQueue<ServerConnection::QueuedAttempt> waiting;
   std::swap(waiting, c.entries_);
   ServerPool& pool = c.pool_;
   close(c);
   for (; !waiting.empty(); waiting.pop_front()) {
-    ServerConnection::Entry& e = waiting.front();
-    ServerConnection* other = least_loaded(pool, Dialling::kLeftOut);
+    ServerConnection::QueuedAttempt& e = waiting.front();
+    ServerConnection* other = least_loaded(pool, Connecting::kExclude);
     if (!other) {
       handler_.on_attempt_end(e.id, e.attempt, refused ? Status::ConnectFailed : Status::NotSent,
                               Answer());
@@ -292,25 +293,27 @@
 
 /// Closes the idle connections that this router may no longer hold open, the least recently used
 /// first.
-void ServerSide::give_back(ServerPool& pool) {
+void ServerSide::trim_idle(ServerPool& pool) {
   auto& all = pool.connections;
-  pool.keep.advance(io_.now(), limits_.table, all.size());
+  pool.idle_budget.advance(io_.now(), limits_.table, all.size());
   if (all.empty()) return;
   auto idle = std::count_if(all.begin(), all.end(), [](const auto& c) { return c->idle(); });
-  std::size_t count = pool.keep.to_close(limits_.table, all.size(), static_cast<std::size_t>(idle));
+  std::size_t count =
+      pool.idle_budget.to_close(limits_.table, all.size(), static_cast<std::size_t>(idle));
   for (; count > 0; --count) {
-    ServerConnection* unused = nullptr;
+    ServerConnection* least_recent = nullptr;
     for (auto& c : all)
-      if (c->idle() && (!unused || c->used_at_ < unused->used_at_)) unused = c.get();
-    close(*unused);
+      if (c->idle() && (!least_recent || c->last_active_at_ < least_recent->last_active_at_))
+        least_recent = c.get();
+    close(*least_recent);
   }
 }
 
-void ServerSide::serve_put_off(ServerPool& pool) {
-  if (!dials_put_off_) return;
+void ServerSide::reassign_deferred(ServerPool& pool) {
+  if (!dials_deferred_) return;
   for (auto& c : pool.connections)
     while (!c->socket_ && !c->closed_ && !c->entries_.empty()) {
-      ServerConnection* free = least_loaded(pool, Dialling::kLeftOut);
+      ServerConnection* free = least_loaded(pool, Connecting::kExclude);
       if (!free) return;
       free->take_over(std::move(c->entries_.front()));
       c->entries_.pop_front();
@@ -319,34 +322,34 @@
 
 void ServerSide::sweep() {
   Micros now = io_.now();
-  bool put_off = false;
+  bool deferred = false;
   for (auto it = pools_.begin(); it != pools_.end();) {
     ServerPool& pool = *it->second;
-    give_back(pool);
+    trim_idle(pool);
     for (std::size_t k = pool.connections.size(); k-- > 0;) {
       ServerConnection& c = *pool.connections[k];
       if (c.connecting_) {
-        put_off |= !c.socket_;
+        deferred |= !c.socket_;
         if (!c.socket_)
-          c.dial_again();
-        else if (now > c.dial_until_ + kUnarmedDial)
-          failed_dial(c, CallResult::kTransientError);
+          c.retry_dial();
+        else if (now > c.dial_until_ + kUnwatchedDialTimeout)
+          on_dial_failed(c, CallResult::kTransientError);
         continue;
       }
       if (c.entries_.empty()) {
-        if (c.retiring_ || now - c.used_at_ > limits_.table.max_idle_time) close(c);
+        if (c.draining_ || now - c.last_active_at_ > limits_.table.max_idle_time) close(c);
         continue;
       }
       // What a full socket buffer has kept back this long was never sent, and must not go out when
       // the server may have begun to drain since.
       c.drop_unsent(now - limits_.dial_timeout);
-      if (c.overdue(now)) close(c);
+      if (c.timed_out(now)) close(c);
     }
     // A server that has left, whether a whole list or a change said so, leaves nothing behind once
     // its last attempt has ended.
     it = !pool.listed && pool.connections.empty() ? pools_.erase(it) : std::next(it);
   }
-  dials_put_off_ = put_off;
+  dials_deferred_ = deferred;
 }
 
 void ServerSide::flush() {
--- a/src/net/server_side.hpp
+++ b/src/net/server_side.hpp
@@ -39,12 +39,12 @@
     virtual void on_attempt_end(RequestId id, int attempt, Status status, Answer&& answer) = 0;
     /// The attempt's first byte has been written. `wanted`: its server takes anything new;
     /// `sent_deadline`: what the server was told of the time that is left ends then.
-    virtual void on_attempt_written(RequestId id, int attempt, bool wanted,
+    virtual void on_attempt_written(RequestId id, int attempt, bool server_available,
                                     Micros sent_deadline) = 0;
     /// The head of a long value has come. False where nobody wants the rest.
-    virtual bool on_attempt_begin(RequestId id, int attempt, const Answer& head) = 0;
+    virtual bool on_stream_begin(RequestId id, int attempt, const Answer& head) = 0;
     /// More of the value. False where no more is to come until resume().
-    virtual bool on_attempt_piece(RequestId id, int attempt, std::string_view piece) = 0;
+    virtual bool on_stream_data(RequestId id, int attempt, std::string_view piece) = 0;
   };
   struct Limits {
     std::size_t connections = 300;                                          ///< to all servers
@@ -58,19 +58,19 @@
   ~ServerSide();
 
   /// Takes over what a list says of where servers are and whether they want anything new.
-  void take_list(const HostList& list);
+  void update_hosts(const HostList& list);
 
-  /// Sends one attempt, whose server is told how long is left until `given_up` when the first of it
+  /// Sends one attempt, whose server is told how long is left until `deadline` when the first of it
   /// is written; from `until` on nothing of it is begun any more. The handler may be told of its
   /// end before this returns.
   void send(const std::string& server, RequestId id, int attempt, const Command& command,
-            Micros given_up, Micros until = violetusher::Send::kAnyTime);
+            Micros deadline, Micros send_before = violetusher::Send::kAnyTime);
   /// Takes an attempt back of which nothing is written yet; false where there is none.
   bool withdraw(const std::string& server, RequestId id, int attempt);
   /// Whether cancel() would end the attempt's connection, which alone tells the server that it is
   /// given up. Where it is not, as others on that connection still wait, the attempt goes on; it is
   /// given up with the last of them, and told as Timeout.
-  bool may_give_up(const std::string& server, RequestId id, int attempt);
+  bool may_abandon(const std::string& server, RequestId id, int attempt);
   /// Gives an attempt up: Moot where nothing of it was sent whole, Cancelled where it may have run.
   Status cancel(const std::string& server, RequestId id, int attempt);
   /// The long value of the attempt may go on coming.
@@ -81,13 +81,13 @@
   /// Attempts written whole since the start.
   std::uint64_t written() const { return written_; }
   /// What new settings say of connections; how many there may be to all servers stays.
-  void retune(const Limits& limits) {
+  void update_limits(const Limits& limits) {
     std::size_t connections = limits_.connections;
     limits_ = limits;
     limits_.connections = connections;
   }
   /// Tells `account`, which outlives this, what is sent and who gets anything new.
-  void attach_activity_recorder(core::audit::ActivityRecorder& account);
+  void attach_activity_recorder(core::audit::ActivityRecorder& activity_recorder);
   /// Servers of which anything is kept.
   std::size_t pools() const { return pools_.size(); }
 
@@ -97,40 +97,40 @@
   std::pair<ServerConnection*, std::size_t> find(const std::string& server, RequestId id,
                                                  int attempt);
   void sweep();
-  void give_back(ServerPool& pool);
-  ServerConnection* pick(ServerPool& pool);
-  enum class Dialling { kCounts, kLeftOut };
+  void trim_idle(ServerPool& pool);
+  ServerConnection* pick_connection(ServerPool& pool);
+  enum class Connecting { kInclude, kExclude };
   /// The connection of the pool to write one more attempt behind others on; none where there is
   /// no good one. `dialling`: whether one that is not up yet may be it.
-  ServerConnection* least_loaded(ServerPool& pool, Dialling dialling) const;
+  ServerConnection* least_loaded(ServerPool& pool, Connecting connecting) const;
   /// Makes room for one more connection to `pool`'s server; false where all are in use.
   bool make_room(ServerPool& pool);
   ServerConnection* dial(ServerPool& pool);
   /// Moves what waits for dials that are put off to a connection of the pool that has room.
-  void serve_put_off(ServerPool& pool);
-  void touch(ServerConnection& connection);
+  void reassign_deferred(ServerPool& pool);
+  void mark_dirty(ServerConnection& connection);
   /// Ends the connection; every attempt on it gets its outcome.
   void close(ServerConnection& connection);
   /// `why`: kTransientError where this machine could not dial, which is not held against the
   /// server.
-  void failed_dial(ServerConnection& connection, CallResult why);
+  void on_dial_failed(ServerConnection& connection, CallResult why);
 
   Io& io_;
   Handler& handler_;
   Limits limits_;
   const std::vector<violetusher::ReportField>* fields_;
   core::flight::Recorder& recorder_;
-  core::audit::ActivityRecorder* account_ = nullptr;
+  core::audit::ActivityRecorder* activity_recorder_ = nullptr;
   std::unique_ptr<Alarm> sweep_alarm_;
   std::unordered_map<std::string, std::unique_ptr<ServerPool>> pools_;
   std::size_t total_ = 0;
-  bool dials_put_off_ = false;  // since the last sweep, by this machine
+  bool dials_deferred_ = false;  // since the last sweep, by this machine
   std::uint64_t written_ = 0;
-  std::uint32_t next_connection_ = 1;
+  std::uint32_t next_connection_id_ = 1;
   std::vector<std::unique_ptr<ServerConnection>> closed_;
   std::vector<ServerConnection*> dirty_;
-  static constexpr std::size_t kScratch = 16u << 10;  // read at once from one connection
-  std::unique_ptr<char[]> scratch_;
+  static constexpr std::size_t kReadBufferBytes = 16u << 10;  // read at once from one connection
+  std::unique_ptr<char[]> read_buffer_;
   Answer answer_;  // the one being read
 };
 
--- a/src/net/timers.hpp
+++ b/src/net/timers.hpp
@@ -18,26 +18,26 @@
   /// What a timer is for.
   struct Task {
     enum class Kind : std::uint8_t {
-      kModule,   ///< the decision module's
-      kAttempt,  ///< an attempt's patience is over
-      kExpiry,   ///< the client's time is over
-      kLast,     ///< whatever happened, the client gets its answer
+      kModule,          ///< the decision module's
+      kAttemptTimeout,  ///< an attempt's patience is over
+      kDeadline,        ///< the client's time is over
+      kFinalAnswer,     ///< whatever happened, the client gets its answer
     };
     Kind kind = Kind::kModule;
     std::uint32_t module = 0;  ///< of kModule
-    int attempt = 0;           ///< of kAttempt
+    int attempt = 0;           ///< of kAttemptTimeout
     std::uint64_t token = 0;   ///< the module's, or a request's number
   };
   /// Names a timer that was set; 0 names none.
   using Handle = std::uint64_t;
 
-  Handle set(Micros at, const Task& due);
+  Handle set(Micros at, const Task& task);
   /// Takes the timer out and sets `handle` to 0. One that has rung, or none, is let be.
   void cancel(Handle& handle);
   /// When the first one is due.
   std::optional<Micros> next() const;
   /// Takes out the first one that is due at `now`; false where there is none.
-  bool pop_due(Micros now, Task& due);
+  bool pop_due(Micros now, Task& task);
   std::size_t size() const { return heap_.size(); }
 
  private:
@@ -48,14 +48,14 @@
     bool before(const Item& o) const { return at != o.at ? at < o.at : order < o.order; }
   };
   struct Node {
-    Task due;
-    std::uint32_t place = 0;       // in heap_, where it is set
+    Task task;
+    std::uint32_t position = 0;    // in heap_, where it is set
     std::uint32_t generation = 0;  // odd while set
   };
-  void put(std::size_t place, const Item& item);
-  void rise(std::size_t place, Item item);
-  void sink(std::size_t place, Item item);
-  void remove(std::size_t place);
+  void store(std::size_t position, const Item& item);
+  void sift_up(std::size_t position, Item item);
+  void sift_down(std::size_t position, Item item);
+  void remove(std::size_t position);
 
   std::vector<Item> heap_;
   std::vector<Node> nodes_;
--- a/tests/net/allocation_test.cpp
+++ b/tests/net/allocation_test.cpp
@@ -13,7 +13,7 @@
 
 namespace {
 thread_local bool counting = false;
-thread_local std::uint64_t taken = 0;
+thread_local std::uint64_t allocations = 0;
 }  // namespace
 
 extern "C" {
@@ -21,15 +21,15 @@
 void* __libc_calloc(std::size_t, std::size_t);
 void* __libc_realloc(void*, std::size_t);
 void* malloc(std::size_t size) {
-  taken += counting;
+  allocations += counting;
   return __libc_malloc(size);
 }
 void* calloc(std::size_t count, std::size_t size) {
-  taken += counting;
+  allocations += counting;
   return __libc_calloc(count, size);
 }
 void* realloc(void* at, std::size_t size) {
-  taken += counting;
+  allocations += counting;
   return __libc_realloc(at, size);
 }
 }
@@ -64,7 +64,7 @@
 }
 
 /// A file whose limits and budgets all have room.
-core::config::Model roomy() {
+core::config::Model unlimited_model() {
   auto compiled = core::config::compile(
       "f",
       "version 1;\ntenant acme { limit = wide; }\nclass read { attempts = 2; worth = 3; limit = "
@@ -90,24 +90,24 @@
       true;  // an agent that can't be reached is called some times a second beside
   RunningRouter router(options);
   Client client(router.port());
-  constexpr int kWarm = 800, kCounted = 2000;
-  auto [depth, operated] = GetParam();
-  if (operated) {
-    auto model = roomy();
+  constexpr int kWarmUpReads = 800, kCountedReads = 2000;
+  auto [depth, with_operator_file] = GetParam();
+  if (with_operator_file) {
+    auto model = unlimited_model();
     router.post([&](Router& r) { r.apply_model(model); });
   }
-  EXPECT_EQ(reads(client, 0, kWarm, depth), kWarm);
+  EXPECT_EQ(reads(client, 0, kWarmUpReads, depth), kWarmUpReads);
   std::uint64_t found = 0;
 #if !defined(__SANITIZE_ADDRESS__)
-  router.post([](Router&) { taken = 0, counting = true; });
-  EXPECT_EQ(reads(client, kWarm, kCounted, depth), kCounted);
+  router.post([](Router&) { allocations = 0, counting = true; });
+  EXPECT_EQ(reads(client, kWarmUpReads, kCountedReads, depth), kCountedReads);
   router.post([&](Router&) {
     counting = false;
-    found = taken;
+    found = allocations;
   });
 #endif
   // What goes on beside the requests (discovery that is asked again, post() itself) takes a little.
-  EXPECT_LT(found, kCounted / 50) << "of " << kCounted << " reads";
+  EXPECT_LT(found, kCountedReads / 50) << "of " << kCountedReads << " reads";
 }
 
 INSTANTIATE_TEST_SUITE_P(DepthsWithoutAndWithAFile, Allocation,
--- a/tests/net/held_io.hpp
+++ b/tests/net/held_io.hpp
@@ -54,8 +54,8 @@
     bool dial = dials_.erase(socket) > 0;
     bool client = clients_.erase(socket) > 0;
     if (!dial && !client) return io_.watch(socket, target);
-    return std::make_unique<Held>(*this, socket, target,
-                                  dial ? net::Watch::kWritable : net::Watch::kReadable);
+    return std::make_unique<HeldWatch>(*this, socket, target,
+                                       dial ? net::Watch::kWritable : net::Watch::kReadable);
   }
   std::unique_ptr<Alarm> alarm(std::function<void()> on_expiry) override {
     return io_.alarm(std::move(on_expiry));
@@ -64,22 +64,22 @@
   void run_once() override { io_.run_once(); }
 
  private:
-  class Held final : public net::Watch, net::Watch::Target {
+  class HeldWatch final : public net::Watch, net::Watch::Target {
    public:
-    Held(HeldIo& owner, int socket, net::Watch::Target& target, unsigned what)
+    HeldWatch(HeldIo& owner, int socket, net::Watch::Target& target, unsigned what)
         : owner_(owner), target_(target), what_(what), inner_(owner.io_.watch(socket, *this)) {
       owner_.all_.insert(this);
     }
-    ~Held() override { owner_.all_.erase(this); }
+    ~HeldWatch() override { owner_.all_.erase(this); }
     void read(bool on) override {
       reads_ = on;
       inner_->read(on);
     }
     void write_once(Micros limit) override { inner_->write_once(limit); }
     /// What was kept back is told.
-    void go_on() {
+    void release() {
       if (reads_) inner_->read(true);
-      if (unsigned kept = std::exchange(kept_, 0)) target_.on_ready(kept);
+      if (unsigned held_events = std::exchange(held_events_, 0)) target_.on_ready(held_events);
     }
 
    private:
@@ -89,13 +89,14 @@
         target_.on_ready(what);
         return;
       }
-      kept_ |= what_ == kWritable ? what : 0;  // input is still there when it is looked for again
+      held_events_ |=
+          what_ == kWritable ? what : 0;  // input is still there when it is looked for again
       if (what_ == kReadable) inner_->read(false);
     }
 
     HeldIo& owner_;
     net::Watch::Target& target_;
-    unsigned what_, kept_ = 0;
+    unsigned what_, held_events_ = 0;
     bool reads_ = false;
     std::unique_ptr<net::Watch> inner_;
   };
@@ -103,14 +104,14 @@
   void hold(bool& held, bool on) {
     held = on;
     if (on) return;
-    for (Held* one : std::set<Held*>(all_))
-      if (all_.count(one)) one->go_on();
+    for (HeldWatch* one : std::set<HeldWatch*>(all_))
+      if (all_.count(one)) one->release();
   }
 
   SystemIo& io_;
   bool dials_held_ = false, clients_held_ = false;
   std::set<int> dials_, clients_;
-  std::set<Held*> all_;
+  std::set<HeldWatch*> all_;
 };
 
 }  // namespace violetusher::net::test
--- a/tests/net/long_value_test.cpp
+++ b/tests/net/long_value_test.cpp
@@ -73,7 +73,7 @@
 }
 
 /// Values asked for at once on one connection: more than the kernel's buffers take in.
-constexpr int kEach = 6;
+constexpr int kValuesPerClient = 6;
 
 std::string name(int client, int k) { return std::to_string(client) + "-" + std::to_string(k); }
 
@@ -87,7 +87,8 @@
     ASSERT_EQ(clients.back()->line(), head_of(name(c, 0)));
   }
   for (int c = 0; c < 3; ++c)
-    for (int k = 1; k < kEach; ++k) clients[c]->send(read_command(name(c, k), "k", "1500"));
+    for (int k = 1; k < kValuesPerClient; ++k)
+      clients[c]->send(read_command(name(c, k), "k", "1500"));
   ASSERT_TRUE(router.eventually([](Router& r) { return r.client_buffered() > 0; }));
   // All deadlines pass while the values come; none that has begun is cut off for that.
   std::this_thread::sleep_for(std::chrono::milliseconds(1600));
@@ -95,7 +96,7 @@
   std::string value = long_value();
   std::atomic<int> whole{0};
   auto read_all = [&](int c) {
-    for (int k = 0; k < kEach; ++k) {
+    for (int k = 0; k < kValuesPerClient; ++k) {
       std::string line = k == 0 ? head_of(name(c, 0)) : clients[c]->line();
       if (line == "SERVER_ERROR busy") continue;  // stood behind others until its time was over
       ASSERT_EQ(line, head_of(name(c, k)));
@@ -119,7 +120,7 @@
   LineServer other(good_cache);
   RunningRouter router({.dials = {cache.address(), other.address()}});
   Client stuck(router.port());
-  for (int k = 0; k < kEach; ++k) stuck.send(read_command("l" + std::to_string(k)));
+  for (int k = 0; k < kValuesPerClient; ++k) stuck.send(read_command("l" + std::to_string(k)));
   ASSERT_TRUE(router.eventually([](Router& r) { return r.client_buffered() > 0; }));
   Client client(router.port());
   for (int k = 0; k < 50; ++k) {
@@ -150,18 +151,18 @@
 }
 
 TEST(LongValue, ALengthThatIsALieIsAFailedAttemptAndTriedElsewhere) {
-  std::atomic<int> lies{0};
-  auto liar = [&](const std::string& line, int) {
-    if (lies++ > 0) return value_for(line);
+  std::atomic<int> false_lengths{0};
+  auto false_length = [&](const std::string& line, int) {
+    if (false_lengths++ > 0) return value_for(line);
     return head_of(id_of(line)) + "\r\nprice\r\n";
   };
-  LineServer one(liar), two(liar);
+  LineServer one(false_length), two(false_length);
   RunningRouter router({.dials = {one.address(), two.address()}});
   Client client(router.port());
   client.send(read_command("a1"));
   EXPECT_EQ(client.line(), "VA 5 Oa1");
   EXPECT_EQ(client.line(), "price");
-  EXPECT_EQ(lies, 2);
+  EXPECT_EQ(false_lengths, 2);
 }
 
 TEST(LongValue, GarbledEndAndSilenceAreCutOffToo) {
--- a/tests/net/net_support.hpp
+++ b/tests/net/net_support.hpp
@@ -242,7 +242,7 @@
   std::string discovery = "127.0.0.1:1";
   int sockets = 256;
   int memory_mb = 32;
-  std::string deadline_us = "2000000", aim_us = "1000000";
+  std::string deadline_us = "2000000", objective_us = "1000000";
   bool retry_after = false;
   std::vector<std::string> more_tenants;  ///< besides acme
   std::string operator_listen;            ///< where operators call; none where empty
@@ -264,8 +264,8 @@
     entries.push_back(host_entry("s-" + std::to_string(k), o.dials[k]));
   auto one_class = [&](const std::string& name, const std::string& effect) {
     return R"({"Name":")" + name + R"(","Effect":")" + effect + R"(","Group":"all","KeyTtlUs":)" +
-           o.key_ttl_us + R"(,"ObjectiveUs":)" + o.aim_us + R"(,"DeadlineUs":)" + o.deadline_us +
-           R"(,"Worth":1})";
+           o.key_ttl_us + R"(,"ObjectiveUs":)" + o.objective_us + R"(,"DeadlineUs":)" +
+           o.deadline_us + R"(,"Worth":1})";
   };
   std::string tenants;
   for (const std::string& name : o.more_tenants)
--- a/tests/net/pool_set_test.cpp
+++ b/tests/net/pool_set_test.cpp
@@ -9,7 +9,7 @@
 namespace {
 
 /// Writes down what modules hear.
-struct Heard : PoolSet::Handler {
+struct RecordingHandler : PoolSet::Handler {
   struct List {
     std::uint32_t module;
     violetusher::ListScope scope;
@@ -36,62 +36,65 @@
 
 struct Fixture {
   Config config = parse_config(config_text({.dials = {"127.0.0.1:9", "127.0.0.1:10"}}));
-  Heard heard;
-  PoolSet pools{config, heard, 1'000'000};
+  RecordingHandler handler;
+  PoolSet pools{config, handler, 1'000'000};
 };
 
 TEST(PoolSet, AModuleComesWithTheFirstRequestAndHearsItsPartOfTheList) {
   Fixture f;
-  EXPECT_EQ(f.heard.lists.size(), 1u);  // that of the whole list
-  f.pools.operate(traffic("pool p { hosts = [\"*-1\"]; }\nroute r { pool = p; }\n"));
+  EXPECT_EQ(f.handler.lists.size(), 1u);  // that of the whole list
+  f.pools.set_traffic_policy(traffic("pool p { hosts = [\"*-1\"]; }\nroute r { pool = p; }\n"));
   EXPECT_EQ(f.pools.modules(), 1u);
   EXPECT_TRUE(f.pools.has_live("p"));  // without a module of its own
-  auto number = f.pools.enter("p", 2'000'000);
+  auto number = f.pools.begin_request("p", 2'000'000);
   ASSERT_TRUE(number);
-  EXPECT_EQ(f.heard.started.back(), *number);
-  EXPECT_EQ(f.heard.lists.back().servers, (std::vector<std::string>{"s-1"}));
+  EXPECT_EQ(f.handler.started.back(), *number);
+  EXPECT_EQ(f.handler.lists.back().servers, (std::vector<std::string>{"s-1"}));
   // A change that is not its own is told as nothing; one that takes its server is told.
-  f.pools.take(parse_host_list(host_list("2", {host_entry("s-0", "127.0.0.1:9", "left")}, false)));
-  f.pools.take(parse_host_list(host_list("3", {host_entry("s-1", "127.0.0.1:9", "left")}, false)));
-  std::vector<std::string> told;
-  for (const auto& list : f.heard.lists)
-    if (list.module == *number) told.insert(told.end(), list.servers.begin(), list.servers.end());
-  EXPECT_EQ(told, (std::vector<std::string>{"s-1", "s-1"}));
+  f.pools.apply_list(
+      parse_host_list(host_list("2", {host_entry("s-0", "127.0.0.1:9", "left")}, false)));
+  f.pools.apply_list(
+      parse_host_list(host_list("3", {host_entry("s-1", "127.0.0.1:9", "left")}, false)));
+  std::vector<std::string> received;
+  for (const auto& list : f.handler.lists)
+    if (list.module == *number)
+      received.insert(received.end(), list.servers.begin(), list.servers.end());
+  EXPECT_EQ(received, (std::vector<std::string>{"s-1", "s-1"}));
   EXPECT_FALSE(f.pools.has_live("p"));
 }
 
 TEST(PoolSet, APoolThatSelectsOthersLeavesWithItsLastRequest) {
   Fixture f;
-  f.pools.operate(traffic("pool p { hosts = [\"*-1\"]; }\nroute r { pool = p; }\n"));
-  std::uint32_t before = f.pools.enter("p", 2'000'000).value();
-  f.pools.operate(traffic("pool p { hosts = [\"*-0\"]; }\nroute r { pool = p; }\n"));
-  f.pools.free_gone(2'000'000);
+  f.pools.set_traffic_policy(traffic("pool p { hosts = [\"*-1\"]; }\nroute r { pool = p; }\n"));
+  std::uint32_t before = f.pools.begin_request("p", 2'000'000).value();
+  f.pools.set_traffic_policy(traffic("pool p { hosts = [\"*-0\"]; }\nroute r { pool = p; }\n"));
+  f.pools.free_modules(2'000'000);
   EXPECT_NE(f.pools.find(before), nullptr);  // its request is still out
-  std::uint32_t after = f.pools.enter("p", 2'000'000).value();
+  std::uint32_t after = f.pools.begin_request("p", 2'000'000).value();
   EXPECT_NE(after, before);
-  f.pools.leave(before, 2'100'000);
-  f.pools.free_gone(2'100'000);
+  f.pools.end_request(before, 2'100'000);
+  f.pools.free_modules(2'100'000);
   EXPECT_EQ(f.pools.find(before), nullptr);
   EXPECT_NE(f.pools.find(after), nullptr);
   // One that means the same stays, with what it has learnt.
-  f.pools.operate(
+  f.pools.set_traffic_policy(
       traffic("limit l { in_flight = 9; }\npool p { hosts = [\"*-0\"]; limit = l; }\nroute r { "
               "pool = p; }\n"));
-  EXPECT_EQ(f.pools.enter("p", 2'200'000), after);
+  EXPECT_EQ(f.pools.begin_request("p", 2'200'000), after);
 }
 
 TEST(PoolSet, AnIdleModuleIsGivenBackAndMadeAgain) {
   Fixture f;
-  f.pools.operate(traffic("pool p { }\nroute r { pool = p; }\n"));
-  std::uint32_t number = f.pools.enter("p", 2'000'000).value();
-  f.pools.free_gone(120'000'000);
+  f.pools.set_traffic_policy(traffic("pool p { }\nroute r { pool = p; }\n"));
+  std::uint32_t number = f.pools.begin_request("p", 2'000'000).value();
+  f.pools.free_modules(120'000'000);
   EXPECT_NE(f.pools.find(number), nullptr);  // in use, for however long
-  f.pools.leave(number, 121'000'000);
-  f.pools.free_gone(150'000'000);
+  f.pools.end_request(number, 121'000'000);
+  f.pools.free_modules(150'000'000);
   EXPECT_NE(f.pools.find(number), nullptr);
-  f.pools.free_gone(190'000'000);
+  f.pools.free_modules(190'000'000);
   EXPECT_EQ(f.pools.find(number), nullptr);
-  EXPECT_NE(f.pools.enter("p", 191'000'000), number);
+  EXPECT_NE(f.pools.begin_request("p", 191'000'000), number);
   EXPECT_EQ(f.pools.modules(), 2u);
 }
 
@@ -110,31 +113,32 @@
   Fixture f;
   auto model = traffic(many_pools(10'000));
   struct mallinfo2 before = ::mallinfo2();
-  f.pools.operate(model);
+  f.pools.set_traffic_policy(model);
   struct mallinfo2 after = ::mallinfo2();
   EXPECT_LT(static_cast<double>(after.uordblks) - static_cast<double>(before.uordblks),
             10'000 * 100);
   EXPECT_EQ(f.pools.modules(), 1u);
-  for (int k = 0; k < 10; ++k) EXPECT_TRUE(f.pools.enter("p" + std::to_string(k * 999), 2'000'000));
+  for (int k = 0; k < 10; ++k)
+    EXPECT_TRUE(f.pools.begin_request("p" + std::to_string(k * 999), 2'000'000));
   EXPECT_EQ(f.pools.modules(), 11u);
-  EXPECT_FALSE(f.pools.enter("none", 2'000'000));
+  EXPECT_FALSE(f.pools.begin_request("none", 2'000'000));
 }
 
 TEST(PoolSet, AtItsBoundAnIdleModuleMakesRoomAndOneInUseDoesNot) {
   Fixture f;
-  f.pools.operate(traffic(many_pools(1'000)));
+  f.pools.set_traffic_policy(traffic(many_pools(1'000)));
   std::vector<std::uint32_t> in_use;
   int k = 0;
-  while (auto number = f.pools.enter("p" + std::to_string(k), 2'000'000 + k)) {
+  while (auto number = f.pools.begin_request("p" + std::to_string(k), 2'000'000 + k)) {
     in_use.push_back(*number);
-    ASSERT_LE(f.pools.modules(), f.pools.most());
+    ASSERT_LE(f.pools.modules(), f.pools.max_modules());
     ASSERT_LT(++k, 1'000);
   }
-  EXPECT_EQ(f.pools.modules(), f.pools.most());
-  f.pools.leave(in_use[3], 3'000'000);
-  EXPECT_TRUE(f.pools.enter("p" + std::to_string(k), 4'000'000));
+  EXPECT_EQ(f.pools.modules(), f.pools.max_modules());
+  f.pools.end_request(in_use[3], 3'000'000);
+  EXPECT_TRUE(f.pools.begin_request("p" + std::to_string(k), 4'000'000));
   EXPECT_EQ(f.pools.find(in_use[3]), nullptr);
-  EXPECT_LE(f.pools.modules(), f.pools.most());
+  EXPECT_LE(f.pools.modules(), f.pools.max_modules());
 }
 
 }  // namespace
--- a/tests/net/race_test.cpp
+++ b/tests/net/race_test.cpp
@@ -17,8 +17,8 @@
 }
 
 /// A router whose calls can be held back.
-struct Held {
-  explicit Held(const RouterOptions& options)
+struct RouterWithHeldIo {
+  explicit RouterWithHeldIo(const RouterOptions& options)
       : router(options, [this](SystemIo& system) {
           auto held = std::make_unique<HeldIo>(system);
           io = held.get();
@@ -35,7 +35,7 @@
   RunningRouter router;
 };
 
-std::string never(const std::string&, int) { return std::string(); }
+std::string never_answer(const std::string&, int) { return std::string(); }
 
 std::vector<std::string> ids_of(const LineServer& cache) {
   std::vector<std::string> ids;
@@ -52,10 +52,10 @@
 TEST(ClientGone, AnAttemptThatWaitsForItsDialIsTakenBack) {
   for (bool may_cancel : {true, false}) {
     LineServer cache(good_cache);
-    Held held({.dials = {cache.address()},
-               .deadline_us = "90000000",
-               .aim_us = "80000000",
-               .may_cancel = may_cancel});
+    RouterWithHeldIo held({.dials = {cache.address()},
+                           .deadline_us = "90000000",
+                           .objective_us = "80000000",
+                           .may_cancel = may_cancel});
     held.hold_dials(true);
     auto client = std::make_unique<Client>(held.router.port());
     client->send(read_command("gone", "k1", "90000"));
@@ -74,10 +74,10 @@
 /// The same of an attempt that waits behind others, with the client's end a reset.
 TEST(ClientGone, AResetIsAClose) {
   LineServer cache(good_cache);
-  Held held({.dials = {cache.address()},
-             .deadline_us = "90000000",
-             .aim_us = "80000000",
-             .may_cancel = false});
+  RouterWithHeldIo held({.dials = {cache.address()},
+                         .deadline_us = "90000000",
+                         .objective_us = "80000000",
+                         .may_cancel = false});
   held.hold_dials(true);
   auto client = std::make_unique<Client>(held.router.port());
   client->send(read_command("gone", "k1", "90000"));
@@ -101,7 +101,7 @@
     return id_of(line)[0] == 'g' ? std::string() : value_for(line);
   });
   RunningRouter router(
-      {.dials = {cache.address()}, .deadline_us = "90000000", .aim_us = "80000000"});
+      {.dials = {cache.address()}, .deadline_us = "90000000", .objective_us = "80000000"});
   std::string many;
   for (int k = 0; k < 300; ++k)
     many += read_command("g" + std::to_string(k), "k" + std::to_string(k), "90000");
@@ -143,7 +143,7 @@
 /// A request that comes in the very moment in which its resting connection is ended is served.
 TEST(RestingClients, ARequestThatCrossesTheEndIsServed) {
   LineServer cache(good_cache);
-  Held held({.dials = {cache.address()}});
+  RouterWithHeldIo held({.dials = {cache.address()}});
   Client client(held.router.port());
   client.send(read_command("first"));
   EXPECT_EQ(client.line(), "VA 5 Ofirst");
@@ -180,7 +180,7 @@
 /// was decided.
 TEST(TimeTold, IsWhatIsLeftWhenTheAttemptIsWritten) {
   LineServer cache(good_cache);
-  Held held({.dials = {cache.address()}, .dial_timeout_us = "5000000"});
+  RouterWithHeldIo held({.dials = {cache.address()}, .dial_timeout_us = "5000000"});
   held.hold_dials(true);
   Client client(held.router.port());
   client.send(read_command("a", "k1", "1500"));
@@ -190,9 +190,9 @@
   held.hold_dials(false);
   EXPECT_EQ(client.line(), "VA 5 Oa");
   std::string line = cache.lines().at(0);
-  int told = std::atoi(line.c_str() + line.find("d=") + 2);
-  EXPECT_LE(told, 1100);
-  EXPECT_GT(told, 0);
+  int sent_ms = std::atoi(line.c_str() + line.find("d=") + 2);
+  EXPECT_LE(sent_ms, 1100);
+  EXPECT_GT(sent_ms, 0);
 }
 
 /// A keyed write that may have run is repeated only while servers remember it. One that waited for
@@ -205,9 +205,9 @@
   };
   LineServer one(reply), two(reply);
   for (bool late : {false, true}) {
-    Held held({.dials = {one.address(), two.address()},
-               .key_ttl_us = "400000",
-               .dial_timeout_us = "5000000"});
+    RouterWithHeldIo held({.dials = {one.address(), two.address()},
+                           .key_ttl_us = "400000",
+                           .dial_timeout_us = "5000000"});
     lines = 0;
     held.hold_dials(true);
     Client client(held.router.port());
@@ -232,25 +232,25 @@
 /// its connection with others that still wait is not, and no other attempt is made meanwhile. Once
 /// all of them are overdue the connection ends, and all are tried elsewhere.
 TEST(Repeats, DoNotBeginWhileTheAttemptGivenUpIsStillOutForItsNeighbours) {
-  std::atomic<int> hangs{-1};
+  std::atomic<int> stuck_server{-1};
   auto reply = [&](int self) {
-    return [&hangs, self](const std::string& line, int) {
+    return [&stuck_server, self](const std::string& line, int) {
       int none = -1;
-      hangs.compare_exchange_strong(none, self);
-      return hangs == self ? std::string() : value_for(line);
+      stuck_server.compare_exchange_strong(none, self);
+      return stuck_server == self ? std::string() : value_for(line);
     };
   };
   LineServer one(reply(0)), two(reply(1));
   RunningRouter router({.dials = {one.address(), two.address()},
-                        .aim_us = "600000",
+                        .objective_us = "600000",
                         .may_hedge = false,
                         .streams = 4,
                         .routers = 300});  // one connection to each server
   Client first(router.port()), second(router.port());
   first.send(read_command("a", "k1", "1900"));
-  ASSERT_TRUE(router.eventually([&](Router&) { return hangs >= 0; }));
-  const LineServer& stuck = hangs == 0 ? one : two;
-  const LineServer& other = hangs == 0 ? two : one;
+  ASSERT_TRUE(router.eventually([&](Router&) { return stuck_server >= 0; }));
+  const LineServer& stuck = stuck_server == 0 ? one : two;
+  const LineServer& other = stuck_server == 0 ? two : one;
   auto since = Steady::now();
   while (seconds_since(since) < 0.3) std::this_thread::sleep_for(std::chrono::milliseconds(5));
   second.send(read_command("b", "k1", "1900"));
@@ -270,23 +270,23 @@
 /// SIGKILL comes 0.7 s after the longest deadline, and no later than 3.7 s after SIGTERM however
 /// long deadlines are: until then every request has its answer, and it can be read.
 TEST(Stopping, AnswersBeforeThePlatformKillsWhateverTheDeadline) {
-  LineServer cache(never);
+  LineServer cache(never_answer);
   RunningRouter router(
-      {.dials = {cache.address()}, .deadline_us = "20000000", .aim_us = "15000000"});
+      {.dials = {cache.address()}, .deadline_us = "20000000", .objective_us = "15000000"});
   Client client(router.port());
   client.send(read_command("a", "k1", "19000"));
   ASSERT_TRUE(router.eventually([&](Router&) { return cache.lines().size() == 1; }));
-  auto told = Steady::now();
+  auto stopped_at = Steady::now();
   router.post([](Router& r) { r.stop(); });
   EXPECT_EQ(client.line(), "SERVER_ERROR failed");
-  EXPECT_LT(seconds_since(told), 3.7);
+  EXPECT_LT(seconds_since(stopped_at), 3.7);
 }
 
 /// A client that goes on sending up to the end reads its answer, and no reset takes it along.
 TEST(Stopping, AnswersAreNotTakenAlongByAReset) {
-  LineServer cache(never);
+  LineServer cache(never_answer);
   RunningRouter router(
-      {.dials = {cache.address()}, .deadline_us = "20000000", .aim_us = "15000000"});
+      {.dials = {cache.address()}, .deadline_us = "20000000", .objective_us = "15000000"});
   Client client(router.port());
   std::string noise;
   for (int k = 0; k < 20'000; ++k) noise += "mn\r\n";
@@ -307,29 +307,31 @@
   RunningRouter router({.dials = {cache.address()}});
   Client silent(router.port()), half(router.port());
   ASSERT_TRUE(router.eventually([](Router& r) { return r.client_connections() == 2; }));
-  auto told = Steady::now();
+  auto stopped_at = Steady::now();
   router.post([](Router& r) { r.stop(); });
   EXPECT_EQ(silent.read_all(), "");
   EXPECT_TRUE(silent.ended());
-  EXPECT_LT(seconds_since(told), 2);  // 0.5 s until it stops listening, and 0.2 s for a first word
+  EXPECT_LT(seconds_since(stopped_at),
+            2);  // 0.5 s until it stops listening, and 0.2 s for a first word
 }
 
 /// Half a command is waited for, but not past the last moment.
 TEST(Stopping, AHalfCommandEndsWithTheLastMoment) {
   LineServer cache(good_cache);
-  RunningRouter router({.dials = {cache.address()}, .deadline_us = "300000", .aim_us = "200000"});
+  RunningRouter router(
+      {.dials = {cache.address()}, .deadline_us = "300000", .objective_us = "200000"});
   Client half(router.port());
   half.send(read_command("a"));
   EXPECT_EQ(half.line(), "VA 5 Oa");
   EXPECT_EQ(half.line(), "price");
   half.send("mg k1 v Ob Pc=re");
-  auto told = Steady::now();
+  auto stopped_at = Steady::now();
   router.post([](Router& r) { r.stop(); });
   EXPECT_EQ(half.read_all(), "");
   EXPECT_TRUE(half.ended());
   EXPECT_FALSE(half.reset());
-  EXPECT_GT(seconds_since(told), 0.8);  // deadline and 0.6 s
-  EXPECT_LT(seconds_since(told), 1.0);  // SIGKILL
+  EXPECT_GT(seconds_since(stopped_at), 0.8);  // deadline and 0.6 s
+  EXPECT_LT(seconds_since(stopped_at), 1.0);  // SIGKILL
   EXPECT_EQ(ids_of(cache), Ids{"a"});
 }
 
@@ -337,18 +339,18 @@
 /// is answered.
 TEST(Stopping, ReadsAllThatHasComeBeforeItCloses) {
   LineServer cache(good_cache);
-  Held held({.dials = {cache.address()}});
+  RouterWithHeldIo held({.dials = {cache.address()}});
   Client client(held.router.port());
   client.send(read_command("first"));
   EXPECT_EQ(client.line(), "VA 5 Ofirst");
   EXPECT_EQ(client.line(), "price");
   held.hold_clients(true);
-  constexpr int kMany = 10'000;  // more than is read at once
+  constexpr int kCommands = 10'000;  // more than is read at once
   std::string many;
-  for (int k = 0; k < kMany; ++k) many += "mn\r\n";
+  for (int k = 0; k < kCommands; ++k) many += "mn\r\n";
   client.send(many + read_command("last"));
   held.router.post([](Router& r) { r.stop(); });
-  for (int k = 0; k < kMany; ++k) ASSERT_EQ(client.line(), "MN");
+  for (int k = 0; k < kCommands; ++k) ASSERT_EQ(client.line(), "MN");
   EXPECT_EQ(client.line(), "VA 5 Olast");
   EXPECT_EQ(client.line(), "price");
   EXPECT_EQ(client.read_all(), "");
@@ -471,8 +473,8 @@
   ::getrlimit(RLIMIT_NOFILE, &before);
   RunningRouter router(
       {.dials = {old_cache.address()}, .discovery = discovery.address(), .sockets = 1024});
-  std::vector<std::unique_ptr<Client>> crowd;
-  for (int k = 0; k < 1500; ++k) crowd.push_back(std::make_unique<Client>(router.port()));
+  std::vector<std::unique_ptr<Client>> idle_clients;
+  for (int k = 0; k < 1500; ++k) idle_clients.push_back(std::make_unique<Client>(router.port()));
   std::size_t clients = 0;
   router.post([&](Router& r) { clients = r.client_connections(); });
   EXPECT_GT(clients, 100u);
@@ -480,7 +482,7 @@
   up = true;
   ASSERT_TRUE(router.eventually([](Router& r) { return r.list_version() == "9"; }));
   for (int k = 0; k < 10; ++k) {
-    for (int n = 0; n < 50; ++n) crowd.push_back(std::make_unique<Client>(router.port()));
+    for (int n = 0; n < 50; ++n) idle_clients.push_back(std::make_unique<Client>(router.port()));
     Client good(router.port());
     good.send(read_command("a" + std::to_string(k)));
     EXPECT_EQ(good.line(), "VA 5 Oa" + std::to_string(k));
--- a/tests/net/request_core_test.cpp
+++ b/tests/net/request_core_test.cpp
@@ -45,8 +45,8 @@
   Socket adopt(int, std::string&) override { return make(); }
   std::uint16_t port(int) const override { return 1; }
   Accepted accept(int, Socket& socket) override {
-    if (knocking == 0) return Accepted::kNone;
-    --knocking;
+    if (waiting_clients == 0) return Accepted::kNone;
+    --waiting_clients;
     socket = make();
     accepted.push_back(socket.number());
     return Accepted::kOne;
@@ -100,34 +100,35 @@
   Micros time = 1'000'000'000;
   std::map<int, End> ends;
   std::vector<int> accepted, dialled;
-  int knocking = 0, next = 1;
+  int waiting_clients = 0, next = 1;
 };
 
 /// The core with its sides; what modules would say is said by the test.
-struct World : PoolSet::Handler {
+struct CoreFixture : PoolSet::Handler {
   void on_module_start(std::uint32_t) override {}
   void on_module_list(std::uint32_t, violetusher::ListScope,
                       std::vector<violetusher::Server>&&) override {}
 
-  explicit World(RequestTable::Bounds bounds = {100, 1u << 20})
-      : core({io, config, pools, timers, feed, clients, servers, recorder, figures, guard}, bounds),
+  explicit CoreFixture(RequestTable::Bounds bounds = {100, 1u << 20})
+      : core({io, config, pools, timers, feed, clients, servers, recorder, metrics, invariants},
+             bounds),
         clients(io, core, {}),
         servers(io, core, {.table = {.max_open = 2, .mean_idle = 2, .max_idle_time = 9 * kSecond}},
                 &config.settings.report_fields, recorder),
         memory(1u << 20),
         ring({reinterpret_cast<std::byte*>(memory.data()), memory.size()}, "t", 1, io.time) {
-    servers.take_list(config.initial_hosts);
+    servers.update_hosts(config.initial_hosts);
     std::string error;
     clients.listen({}, error);
     recorder.attach(&ring);
     core.on_alert([this](const char* what) { alerts.push_back(what); });
   }
   int client() {
-    io.knocking = 1;
+    io.waiting_clients = 1;
     io.ready(1, Watch::kReadable);
     return io.accepted.back();
   }
-  void say(int socket, const std::string& text) {
+  void receive(int socket, const std::string& text) {
     io.ends[socket].in += text;
     io.ready(socket, Watch::kReadable);
   }
@@ -136,19 +137,19 @@
     clients.flush();
   }
   /// Events that are on their way to the module are told and forgotten.
-  void drain() {
+  void deliver_events() {
     while (!feed.empty()) {
-      ModuleEvent& event = feed.take();
+      ModuleEvent& event = feed.pop();
       violetusher::Request request;
       if (auto* e = std::get_if<RequestEvent>(&event)) core.describe(e->id, request);
-      if (auto* e = std::get_if<OutcomeEvent>(&event)) core.told(e->outcome.id);
-      if (auto* e = std::get_if<GoneEvent>(&event)) core.told(e->id);
+      if (auto* e = std::get_if<OutcomeEvent>(&event)) core.on_event_delivered(e->outcome.id);
+      if (auto* e = std::get_if<DisconnectEvent>(&event)) core.on_event_delivered(e->id);
     }
   }
-  void pass(Micros span) {
+  void advance(Micros span) {
     io.time += span;
-    Timers::Task due;
-    while (timers.pop_due(io.time, due)) core.expire(due);
+    Timers::Task task;
+    while (timers.pop_due(io.time, task)) core.on_timer(task);
   }
 
   FakeIo io;
@@ -157,8 +158,8 @@
   ModuleFeed feed;
   PoolSet pools{config, *this, 0};
   core::flight::Recorder recorder;
-  core::ops::Metrics figures;
-  core::InvariantChecker guard;
+  core::ops::Metrics metrics;
+  core::InvariantChecker invariants;
   RequestCore core;
   ClientSide clients;
   ServerSide servers;
@@ -168,11 +169,11 @@
 };
 
 /// One request that has been sent to s-0 and reached it.
-struct OneOut : World {
-  OneOut() {
+struct OneInFlight : CoreFixture {
+  OneInFlight() {
     socket = client();
-    say(socket, read_command("a"));
-    drain();
+    receive(socket, read_command("a"));
+    deliver_events();
     core.send({1, "s-0", 0});
     server = io.dialled.back();
     io.ready(server, Watch::kWritable);
@@ -183,48 +184,48 @@
     return io.ends[socket].out;
   }
   void expect_nothing_left() {
-    drain();
-    pass(10'000'000);  // the client's time is over, then the last guard's
-    drain();
-    pass(1'000'000);
-    drain();
+    deliver_events();
+    advance(10'000'000);  // the client's time is over, then the last guard's
+    deliver_events();
+    advance(1'000'000);
+    deliver_events();
     EXPECT_EQ(core.table().size(), 0u);
     EXPECT_EQ(core.table().bytes(), 0u);
     EXPECT_EQ(timers.size(), 0u);
-    EXPECT_FALSE(core.table().knows("a"));
+    EXPECT_FALSE(core.table().has_client_id("a"));
   }
   int socket, server;
 };
 
-struct Source {
+struct EndSource {
   const char* name;
-  void (*act)(OneOut&);
+  void (*act)(OneInFlight&);
 };
-const Source kSources[] = {
-    {"server", [](OneOut& w) { w.say(w.server, "VA 5 Oa\r\nprice\r\n"); }},
-    {"server_error", [](OneOut& w) { w.say(w.server, "SERVER_ERROR failed Oa\r\n"); }},
+const EndSource kEndSources[] = {
+    {"server", [](OneInFlight& w) { w.receive(w.server, "VA 5 Oa\r\nprice\r\n"); }},
+    {"server_error", [](OneInFlight& w) { w.receive(w.server, "SERVER_ERROR failed Oa\r\n"); }},
     {"expiry",
-     [](OneOut& w) {
-       w.pass(1'600'000);
-       w.pass(100'000);
+     [](OneInFlight& w) {
+       w.advance(1'600'000);
+       w.advance(100'000);
      }},
     {"client_left",
-     [](OneOut& w) {
+     [](OneInFlight& w) {
        w.io.ends[w.socket].ended = true;
        w.io.ready(w.socket, Watch::kReadable);
      }},
     {"refusal",
-     [](OneOut& w) {
+     [](OneInFlight& w) {
        w.core.refuse({1, 0});
      }},
-    {"failure", [](OneOut& w) { w.core.fail({1}); }},
+    {"failure", [](OneInFlight& w) { w.core.fail({1}); }},
     {"cancel",
-     [](OneOut& w) {
+     [](OneInFlight& w) {
        w.core.cancel({1, 0});
      }},
-    {"shutdown", [](OneOut& w) { w.core.fail_all(); }},
+    {"shutdown", [](OneInFlight& w) { w.core.fail_all(); }},
     {"reset",
-     [](OneOut& w) {
+     [](OneInFlight& w) {
        w.io.ends[w.server].ended = true;
        w.io.ready(w.server, Watch::kReadable);
      }},
@@ -233,13 +234,13 @@
 /// Every two sources of an end, in both orders, with what they tell the module told in between or
 /// not.
 TEST(OneAnswer, FromEveryPairOfSources) {
-  for (const Source& first : kSources)
-    for (const Source& second : kSources)
+  for (const EndSource& first : kEndSources)
+    for (const EndSource& second : kEndSources)
       for (bool between : {false, true}) {
         SCOPED_TRACE(std::string(first.name) + " then " + second.name);
-        OneOut w;
+        OneInFlight w;
         first.act(w);
-        if (between) w.drain();
+        if (between) w.deliver_events();
         second.act(w);
         w.expect_nothing_left();
         std::string got = w.answers();
@@ -252,7 +253,7 @@
 }
 
 TEST(OneAnswer, ASecondIsStoppedAndTold) {
-  OneOut w;
+  OneInFlight w;
   w.core.refuse({1, 0});
   w.core.refuse({1, 0});  // the module again: let be, as it does not know yet
   EXPECT_TRUE(w.alerts.empty());
@@ -260,78 +261,78 @@
 }
 
 TEST(LateAnswer, IsToldAsCloseToABrokenRule) {
-  OneOut w;
+  OneInFlight w;
   w.io.time += 1'700'000;  // the loop was held up: no timer has rung
-  w.say(w.server, "VA 5 Oa\r\nprice\r\n");
+  w.receive(w.server, "VA 5 Oa\r\nprice\r\n");
   EXPECT_EQ(w.alerts, std::vector<std::string>{"late-answer"});
 }
 
 TEST(Timing, ATimerThatFiresInTheTurnOfTheAnswerChangesNothing) {
-  OneOut w;
+  OneInFlight w;
   w.io.time += 1'500'000;
-  w.say(w.server, "VA 5 Oa\r\nprice\r\n");
-  Timers::Task due;
-  while (w.timers.pop_due(w.io.time, due)) w.core.expire(due);
+  w.receive(w.server, "VA 5 Oa\r\nprice\r\n");
+  Timers::Task task;
+  while (w.timers.pop_due(w.io.time, task)) w.core.on_timer(task);
   EXPECT_EQ(w.answers(), "VA 5 Oa\r\nprice\r\n");
   w.expect_nothing_left();
 }
 
 TEST(Timing, AnAnswersTimersLeaveWithIt) {
-  OneOut w;
+  OneInFlight w;
   EXPECT_EQ(w.timers.size(), 1u);
-  w.say(w.server, "VA 5 Oa\r\nprice\r\n");
-  w.drain();
+  w.receive(w.server, "VA 5 Oa\r\nprice\r\n");
+  w.deliver_events();
   EXPECT_EQ(w.timers.size(), 0u);
 }
 
 TEST(Bounds, WhatIsTurnedAwayLeavesNothing) {
-  World w({2, 1u << 20});
+  CoreFixture w({2, 1u << 20});
   int socket = w.client();
-  w.say(socket, read_command("a") + read_command("b") + read_command("c") + read_command("a"));
+  w.receive(socket, read_command("a") + read_command("b") + read_command("c") + read_command("a"));
   EXPECT_EQ(w.core.table().size(), 2u);
   w.flush();
   EXPECT_EQ(w.io.ends[socket].out,
             "");  // in the order of the commands: the first two are still out
   w.core.fail({1});
   w.core.fail({2});
-  w.drain();
+  w.deliver_events();
   w.flush();
   EXPECT_EQ(w.io.ends[socket].out,
             "SERVER_ERROR failed\r\nSERVER_ERROR failed\r\nSERVER_ERROR busy\r\nCLIENT_ERROR bad "
             "command\r\n");
   EXPECT_EQ(w.core.table().size(), 0u);
-  EXPECT_FALSE(w.core.table().knows("c"));
+  EXPECT_FALSE(w.core.table().has_client_id("c"));
 }
 
 /// Random lives from a seed: whatever happens to hundreds of requests, each is answered at most
 /// once, all that still have a client are answered, and the table ends empty.
 TEST(Lives, AllEndWithOneAnswerAndLeaveNothing) {
   for (std::uint64_t seed = 1; seed <= 40; ++seed) {
-    std::mt19937_64 draws(seed);
-    World w({30, 1u << 20});
+    std::mt19937_64 random(seed);
+    CoreFixture w({30, 1u << 20});
     std::vector<int> sockets;
     for (int k = 0; k < 6; ++k) sockets.push_back(w.client());
     std::map<int, int> asked;
     std::set<int> left;
     RequestId next = 1;
     for (int step = 0; step < 400; ++step) {
-      int socket = sockets[draws() % sockets.size()];
-      RequestId any = 1 + draws() % next;
-      switch (draws() % 10) {
+      int socket = sockets[random() % sockets.size()];
+      RequestId any = 1 + random() % next;
+      switch (random() % 10) {
         case 0:
         case 1:
         case 2:
           if (left.count(socket)) break;
-          w.say(socket, read_command("q" + std::to_string(next++), "k", "300"));
+          w.receive(socket, read_command("q" + std::to_string(next++), "k", "300"));
           ++asked[socket];
           break;
         case 3:
         case 4:
           if (w.feed.empty())
-            w.core.send({any, draws() % 2 ? "s-0" : "s-1", draws() % 3 ? 0 : 50'000});
+            w.core.send({any, random() % 2 ? "s-0" : "s-1", random() % 3 ? 0 : 50'000});
           break;
         case 5:
-          if (draws() % 2)
+          if (random() % 2)
             w.core.refuse({any, 0});
           else
             w.core.cancel({any, 0});
@@ -341,32 +342,32 @@
           break;
         case 7:
           if (!w.io.dialled.empty()) {
-            int s = w.io.dialled[draws() % w.io.dialled.size()];
+            int s = w.io.dialled[random() % w.io.dialled.size()];
             std::string& out = w.io.ends[s].out;
             std::size_t end = out.find("\r\n");
             if (end != out.npos) {
               std::string line = out.substr(0, end);
               out.erase(0, end + 2);
-              w.say(s, draws() % 3 ? value_for(line) : "SERVER_ERROR busy\r\n");
+              w.receive(s, random() % 3 ? value_for(line) : "SERVER_ERROR busy\r\n");
             }
           }
           break;
         case 8:
-          w.pass(static_cast<Micros>(draws() % 60'000));
+          w.advance(static_cast<Micros>(random() % 60'000));
           break;
         default:
-          if (draws() % 8 == 0 && left.insert(socket).second) {
+          if (random() % 8 == 0 && left.insert(socket).second) {
             w.io.ends[socket].ended = true;
             w.io.ready(socket, Watch::kReadable);
           }
       }
-      if (draws() % 2) w.drain();
+      if (random() % 2) w.deliver_events();
       w.flush();
     }
-    w.drain();
+    w.deliver_events();
     for (int k = 0; k < 50; ++k) {
-      w.pass(50'000);
-      w.drain();
+      w.advance(50'000);
+      w.deliver_events();
       w.flush();
     }
     EXPECT_EQ(w.core.table().size(), 0u) << "seed " << seed;
