--- a/tests/net/server_side_test.cpp
+++ b/tests/net/server_side_test.cpp
@@ -47,8 +47,9 @@
       return at == answer.npos ? answer : answer.replace(at, 1, id_of(line));
     };
     LineServer one(reply), two(reply);
-    RunningRouter router(
-        {.dials = {one.address(), two.address()}, .deadline_us = "60000000", .aim_us = "50000000"});
+    RunningRouter router({.dials = {one.address(), two.address()},
+                          .deadline_us = "60000000",
+                          .objective_us = "50000000"});
     Client client(router.port());
     client.send(read_command("a1", "k1", "60000"));
     EXPECT_EQ(client.line(), "VA 5 Oa1") << text;
@@ -75,8 +76,8 @@
   struct Ignore : ServerSide::Handler {
     void on_attempt_written(RequestId, int, bool, Micros) override {}
     void on_attempt_end(RequestId, int, Status, Answer&&) override {}
-    bool on_attempt_begin(RequestId, int, const Answer&) override { return false; }
-    bool on_attempt_piece(RequestId, int, std::string_view) override { return true; }
+    bool on_stream_begin(RequestId, int, const Answer&) override { return false; }
+    bool on_stream_data(RequestId, int, std::string_view) override { return true; }
   } ignore;
   EventBasePtr base(event_base_new());
   SystemIo io(base.get());
@@ -85,9 +86,9 @@
   ServerSide side(io, ignore, {}, &fields, recorder);
   for (int k = 0; k < 50; ++k) {
     std::string id = "s-" + std::to_string(k);
-    side.take_list(parse_host_list(host_list("2", {host_entry(id, "127.0.0.1:9")}, false)));
+    side.update_hosts(parse_host_list(host_list("2", {host_entry(id, "127.0.0.1:9")}, false)));
     EXPECT_EQ(side.pools(), 1u);
-    side.take_list(
+    side.update_hosts(
         parse_host_list(k % 2 ? host_list("3", {host_entry(id, "127.0.0.1:9", "left")}, false)
                               : host_list("3", {}, true)));
     EXPECT_EQ(side.pools(), 0u);
@@ -95,20 +96,21 @@
 }
 
 /// A server side in a loop of the test's own; counts what it is told.
-struct Driven : ServerSide::Handler {
+struct DrivenServerSide : ServerSide::Handler {
   void on_attempt_written(RequestId, int, bool, Micros) override {}
-  explicit Driven(const LineServer& cache, std::size_t per_server)
-      : Driven(cache, core::ConnectionShare{
-                          .max_open = per_server, .mean_idle = 8, .max_idle_time = 9 * kSecond}) {}
-  Driven(const LineServer& cache, const core::ConnectionShare& table) {
+  explicit DrivenServerSide(const LineServer& cache, std::size_t per_server)
+      : DrivenServerSide(
+            cache, core::ConnectionShare{
+                       .max_open = per_server, .mean_idle = 8, .max_idle_time = 9 * kSecond}) {}
+  DrivenServerSide(const LineServer& cache, const core::ConnectionShare& table) {
     ServerSide::Limits limits;
     limits.table = table;
     side = std::make_unique<ServerSide>(io, *this, limits, &fields, recorder);
-    side->take_list(parse_host_list(host_list("2", {host_entry("s-0", cache.address())})));
+    side->update_hosts(parse_host_list(host_list("2", {host_entry("s-0", cache.address())})));
   }
   void on_attempt_end(RequestId id, int, Status status, Answer&&) override { ended[id] = status; }
-  bool on_attempt_begin(RequestId, int, const Answer&) override { return false; }
-  bool on_attempt_piece(RequestId, int, std::string_view) override { return true; }
+  bool on_stream_begin(RequestId, int, const Answer&) override { return false; }
+  bool on_stream_data(RequestId, int, std::string_view) override { return true; }
   void send(RequestId id) {
     CommandReader reader;
     std::string text = read_command("a" + std::to_string(id));
@@ -140,7 +142,7 @@
 TEST(Attempts, ThatWaitWhenTheirServerIsToldToLeaveAreNotSent) {
   LineServer cache(good_cache);
   for (const char* health : {"leaving", "left"}) {
-    Driven driven(cache, 2);
+    DrivenServerSide driven(cache, 2);
     std::size_t before = cache.lines().size();
     driven.send(1);
     ASSERT_TRUE(driven.eventually([&] { return driven.ended.count(1) > 0; }));
@@ -149,7 +151,7 @@
     driven.side->flush();
     driven.send(3);  // dials
     driven.send(4);  // waits behind others
-    driven.side->take_list(
+    driven.side->update_hosts(
         parse_host_list(host_list("3", {host_entry("s-0", cache.address(), health)}, false)));
     EXPECT_EQ(driven.ended[3], Status::ConnectFailed);
     EXPECT_EQ(driven.ended[4], Status::ConnectFailed);
@@ -165,7 +167,7 @@
 /// Protects against: servers at work for clients that have left, as nothing told them of it.
 TEST(Attempts, GivingOneUpEndsAConnectionOfItsOwnAtOnce) {
   LineServer cache([](const std::string&, int) { return std::string(); });  // never answers
-  Driven driven(cache, 8);
+  DrivenServerSide driven(cache, 8);
   driven.send(1);
   ASSERT_TRUE(driven.eventually([&] { return cache.lines().size() == 1; }));
   EXPECT_EQ(driven.side->cancel("s-0", 1, 0), Status::Cancelled);  // it may have run
@@ -182,7 +184,7 @@
     std::string first = "mg k1 v Oa1";
     return value_for(first) + value_for(line);
   });
-  Driven driven(cache, 1);
+  DrivenServerSide driven(cache, 1);
   driven.send(1);
   driven.send(2);
   ASSERT_TRUE(driven.eventually([&] { return cache.lines().size() == 2; }));
@@ -201,7 +203,7 @@
   for (int routers : {2, 300}) {
     LineServer cache(good_cache);
     // Price caches that keep idle connections for an hour: nothing but the part ends one here.
-    Driven driven(cache, core::connection_share(routers, 3600 * kSecond));
+    DrivenServerSide driven(cache, core::connection_share(routers, 3600 * kSecond));
     for (RequestId id : {1, 2}) {
       driven.send(id);
       ASSERT_TRUE(driven.eventually([&] { return driven.ended.count(id) == 1; }));
@@ -221,7 +223,7 @@
   for (bool reads : {false, true}) {
     LineServer cache([](const std::string&, int) { return std::string(); });  // never answers
     RunningRouter router(
-        {.dials = {cache.address()}, .deadline_us = "90000000", .aim_us = "80000000"});
+        {.dials = {cache.address()}, .deadline_us = "90000000", .objective_us = "80000000"});
     auto client = std::make_unique<Client>(router.port());
     client->send(read_command("a1", "k1", "90000"));
     ASSERT_TRUE(router.eventually([&](Router&) { return cache.lines().size() == 1; }));
--- a/tests/net/timers_test.cpp
+++ b/tests/net/timers_test.cpp
@@ -16,11 +16,11 @@
   for (std::uint64_t token : {1, 2, 3}) timers.set(20, {.token = token});
   timers.set(10, {.token = 4});
   EXPECT_EQ(timers.next(), 10);
-  std::vector<std::uint64_t> rung;
-  Task due;
-  EXPECT_FALSE(timers.pop_due(9, due));
-  while (timers.pop_due(20, due)) rung.push_back(due.token);
-  EXPECT_EQ(rung, (std::vector<std::uint64_t>{4, 1, 2, 3}));
+  std::vector<std::uint64_t> fired;
+  Task task;
+  EXPECT_FALSE(timers.pop_due(9, task));
+  while (timers.pop_due(20, task)) fired.push_back(task.token);
+  EXPECT_EQ(fired, (std::vector<std::uint64_t>{4, 1, 2, 3}));
   EXPECT_EQ(timers.next(), std::nullopt);
 }
 
@@ -33,42 +33,42 @@
   Timers::Handle b = timers.set(10, {.token = 2});  // in the same place
   timers.cancel(kept);
   EXPECT_EQ(timers.size(), 1u);
-  Task due;
-  ASSERT_TRUE(timers.pop_due(10, due));
-  EXPECT_EQ(due.token, 2u);
+  Task task;
+  ASSERT_TRUE(timers.pop_due(10, task));
+  EXPECT_EQ(task.token, 2u);
   timers.cancel(b);  // has rung
   EXPECT_EQ(timers.size(), 0u);
 }
 
 TEST(Timers, KeepWhatAModelKeeps) {
-  std::mt19937_64 draws(20261201);
+  std::mt19937_64 random(20261201);
   Timers timers;
   std::map<std::pair<Micros, std::uint64_t>, Timers::Handle> model;  // by time and order of setting
   Micros now = 0;
   std::uint64_t token = 0;
   for (int step = 0; step < 200'000; ++step) {
-    switch (draws() % 4) {
+    switch (random() % 4) {
       case 0:
       case 1: {
-        Micros at = now + static_cast<Micros>(draws() % 500);
+        Micros at = now + static_cast<Micros>(random() % 500);
         std::uint64_t mine = token++;
         model[{at, mine}] = timers.set(at, {.token = mine});
         break;
       }
       case 2: {
         if (model.empty()) break;
-        auto it = model.lower_bound({now + static_cast<Micros>(draws() % 500), 0});
+        auto it = model.lower_bound({now + static_cast<Micros>(random() % 500), 0});
         if (it == model.end()) it = model.begin();
         timers.cancel(it->second);
         model.erase(it);
         break;
       }
       default: {
-        now += static_cast<Micros>(draws() % 20);
-        Task due;
-        while (timers.pop_due(now, due)) {
+        now += static_cast<Micros>(random() % 20);
+        Task task;
+        while (timers.pop_due(now, task)) {
           ASSERT_FALSE(model.empty());
-          ASSERT_EQ(due.token, model.begin()->first.second);
+          ASSERT_EQ(task.token, model.begin()->first.second);
           ASSERT_LE(model.begin()->first.first, now);
           model.erase(model.begin());
         }
