--- a/src/net/client_connection.cpp
+++ b/src/net/client_connection.cpp
@@ -8,26 +8,29 @@
 
 namespace {
 
-// Unanswered commands of one connection; beyond, it is not read.
+// Unanswered commands of one connection; at this number it is not read any more.
 constexpr std::size_t kMaxPipelinedCommands = 32;
-// A command must come within this of its first byte, and the first one within this of the accept.
-// DAYS owes an error or a close within 3 s of connecting, and lets a client take 2 s for a head.
+// A command must be complete within this time of its first byte, and the first one within this time
+// of the accept. DAYS requires an error or a close within 3 s of connecting, and lets a client take
+// 2 s to send a command head.
 constexpr Micros kCommandTimeout = 2 * kSecond + 2 * kSecond / 5;
-// A connection with no request open is closed after this, the least that DAYS allows. Kept longer
-// they pile up, as some clients ask once and never close, and the places that clients have run out.
+// A connection with no request open is closed after this time, the least that DAYS allows. Kept
+// longer, connections of clients that ask once and never close use up the limit on connections.
 constexpr Micros kIdleTimeout = 2 * kSecond;
-// A router that stops leaves a new connection so long for its first command: the client may have
-// connected just before, and what it sends would meet a closed door. Later it could wait for ever.
+// A router that is shutting down waits this long for the first command of a new connection: the
+// client may have connected just before the shutdown, and a close would reset its command. Without
+// a bound it could wait for ever.
 constexpr Micros kFirstCommandGrace = kSecond / 5;
-// A client that takes none of its answer for this long is given up.
+// A client that reads none of its response for this long is disconnected.
 constexpr Micros kStallTimeout = 3 * kSecond;
-// After our FIN the connection is read until the client's, at most this long and this many bytes:
-// closing with unread bytes sends a reset, which may destroy the last answer on its way.
+// Lingering close: after our FIN the connection is read until the client's FIN, for at most this
+// long and this many bytes. Closing with unread bytes sends a reset, which may destroy the last
+// response on its way.
 constexpr Micros kLingerTimeout = kSecond / 2;
 constexpr std::size_t kMaxLingerBytes = 256u << 10;
-// What an empty output keeps of its memory for the next answer.
+// Capacity that an empty output buffer keeps for the next response.
 constexpr std::size_t kMaxKeptOutputBytes = 2048;
-// Places that are kept for the answers of the next commands, of all connections.
+// Slots kept for later commands, over all connections.
 constexpr std::size_t kMaxSpareSlots = 256;
 
 }  // namespace
@@ -59,7 +62,7 @@
   ssize_t got =
       side_.io_.recv(socket_.number(), side_.read_buffer_.get(), ClientSide::kReadBufferBytes);
   if (got < 0) {
-    if (got == Io::kBroken) side_.close(*this, CloseReason::kClientClosed);  // a reset
+    if (got == Io::kBroken) side_.close(*this, CloseReason::kClientClosed);  // reset by the client
     return;
   }
   if (lingering_) {
@@ -90,7 +93,7 @@
          buffered_output() >= ClientSide::kOutputHighWatermark;
 }
 
-/// Handles the commands in `in` and consumes them, until the pipeline is full.
+/// Handles and consumes the commands in `in` until the pipeline is full.
 void ClientConnection::parse(std::string_view& in) {
   while (!protocol_error_ && !closed_ && !in.empty() && !pipeline_full()) {
     Command& command = side_.command_;
@@ -148,8 +151,8 @@
   command_received_ = true;
 }
 
-/// A half-close looks like a close: the handler is told, and what it answers is written. A client
-/// that is really gone only makes the write fail.
+/// A half-close looks like a close: the handler is notified, and what it responds is written. If
+/// the client has closed, only that write fails.
 void ClientConnection::on_eof() {
   eof_ = true;
   std::string().swap(unparsed_);
@@ -170,7 +173,7 @@
   return slots_.back();
 }
 
-/// The first one is answered; what it holds is empty.
+/// Recycles the first slot, which is answered and whose text is empty.
 void ClientConnection::release_slot() {
   ResponseSlot& slot = slots_.front();
   std::list<ResponseSlot>& spare = side_.spare_slots_;
@@ -184,7 +187,7 @@
   spare.splice(spare.begin(), slots_, slots_.begin());
 }
 
-/// Moves finished answers into the output, in order, and what has come of the next one.
+/// Moves complete responses into the output in order, and what has arrived of the next one.
 void ClientConnection::collect_output() {
   while (!slots_.empty()) {
     std::string& text = slots_.front().text;
@@ -199,7 +202,7 @@
   }
 }
 
-/// Lets more of a long value come once the client has read most of what there was.
+/// Resumes the streamed value once the client has read most of what was buffered.
 void ClientConnection::resume_stream() {
   if (slots_.empty() || !slots_.front().backpressured || unsent() > ClientSide::kOutputLowWatermark)
     return;
@@ -234,7 +237,7 @@
     out_.erase(0, out_at_);
     out_at_ = 0;
   }
-  // What has come until now was taken: it is read before the connection may close.
+  // A command that has arrived by now must be served: read before the connection may close.
   if (quiescent() && may_close_for_shutdown() && !eof_ && !lingering_ && !side_.closing_all_)
     read();
   if (closed_) return;
@@ -263,7 +266,7 @@
 bool ClientConnection::close_idle(CloseReason reason) {
   read();
   if (closed_) return true;
-  // A read that failed for now has told nothing of what has come.
+  // A read that failed for a transient error does not show whether input has arrived.
   if (!idle() || side_.io_.may_have_input(socket_.number())) return false;
   start_lingering_close(reason);
   return true;
@@ -278,14 +281,14 @@
   }
 }
 
-/// Whether a router that stops owes nothing more here.
+/// Whether a router that is shutting down may close this connection.
 bool ClientConnection::may_close_for_shutdown() const {
   if (side_.closing_all_) return true;
   if (!side_.draining_ || in_command()) return false;
   return command_received_ || side_.io_.now() - last_active_at_ > kFirstCommandGrace;
 }
 
-/// Closes after the last answer.
+/// Closes after the last response.
 void ClientConnection::start_lingering_close(CloseReason reason) {
   if (lingering_) return;
   if (eof_) {
--- a/src/net/client_connection.hpp
+++ b/src/net/client_connection.hpp
@@ -1,5 +1,5 @@
-// One client's connection: its commands in, its answers out in the order of the commands. Only
-// ClientSide, which owns all of them, uses it.
+// One client connection: commands in, responses out in the order of the commands. Used only by
+// ClientSide, which owns all of them.
 #pragma once
 
 #include <list>
@@ -10,32 +10,38 @@
 
 namespace violetusher::net {
 
+/// One accepted connection of a client.
 class ClientConnection final : Watch::Target {
  public:
   ClientConnection(ClientSide& side, Socket socket, bool over_limit);
 
   void on_ready(unsigned what) override;
+  /// Reads once from the socket and handles the commands in the input.
   void read();
+  /// Writes the complete responses in order and closes the connection if it is finished.
   void flush();
-  /// While it is not read a close goes unseen: looks for one. Call a few times in a tenth of a
-  /// second, after which nothing more may be begun for a client that has closed.
+  /// A close goes unseen while the connection is not being read; this polls for it. Call several
+  /// times within a tenth of a second: after that time nothing more may be started for a client
+  /// that has closed.
   void poll_for_close();
-  /// Renews its part in the bytes held for all.
+  /// Updates the connection's share of ClientSide::buffered_.
   void update_buffered();
 
-  /// No request is open and no answer is on its way: closing it loses nothing.
+  /// No request is open and no response is buffered: closing the connection loses nothing.
   bool quiescent() const { return slots_.empty() && out_.empty(); }
+  /// A part of a command has been received.
   bool in_command() const { return reader_.in_command() || !unparsed_.empty(); }
-  /// True when its time is up, whatever it has been doing or not doing.
+  /// Whether a timeout of the connection has passed, in whatever state it is.
   bool timed_out(Micros now) const;
-  /// Ends it for that. What has come on a resting one in this very moment is taken first, and
-  /// nothing that the client has not read yet is lost by a reset.
+  /// Closes it for that. Input that has just arrived on an idle connection is read first, and no
+  /// reset discards a response that the client has not read yet.
   void close_timed_out();
-  /// Ends one that rests: what has come in this very moment is taken first. False where that was a
-  /// request, so that it does not rest any more.
+  /// Closes an idle connection after reading what has just arrived. Returns false if that was a
+  /// request, so that the connection is not idle any more.
   bool close_idle(core::CloseReason reason);
-  /// Reads what has come and drops it, so that a close does not reset the connection.
+  /// Reads and discards what has arrived, so that the close does not reset the connection.
   void discard_input();
+  /// Bytes of the output that are not written yet.
   std::size_t unsent() const { return out_.size() - out_at_; }
   std::size_t buffered_output() const { return unsent() + slot_bytes_; }
 
@@ -45,21 +51,21 @@
   std::unique_ptr<Watch> watch_;
   CommandReader reader_;
   std::list<ResponseSlot> slots_;
-  std::size_t slot_bytes_ = 0;     // answer bytes in the slots
-  std::size_t counted_bytes_ = 0;  // of ClientSide::buffered_
+  std::size_t slot_bytes_ = 0;     // response bytes in the slots
+  std::size_t counted_bytes_ = 0;  // counted in ClientSide::buffered_
   bool reading_ = true;
   bool eof_ = false;
-  bool peer_ended_ = false;  // a client that closes has gone: what it sent before is not sent on
-  bool protocol_error_ = false;    // nothing more is taken from it: closes after the answers due
-  bool over_limit_;                // refused and closed
-  bool command_received_ = false;  // a whole command has come
+  bool peer_ended_ = false;      // the client has closed: commands it sent before are not forwarded
+  bool protocol_error_ = false;  // nothing more is read: closes after the pending responses
+  bool over_limit_;              // its commands are rejected and it is closed
+  bool command_received_ = false;  // a whole command has been received
   bool lingering_ = false;
-  core::CloseReason close_reason_ = core::CloseReason::kAnswered;  // of one that lingers
+  core::CloseReason close_reason_ = core::CloseReason::kAnswered;  // while lingering
   bool dirty_ = false;
   bool closed_ = false;
-  Micros since_;           // first byte of the command under way, or start of the linger
-  Micros last_active_at_;  // accepted, or last answered whole
-  std::string listener_;   // by which it came; empty = the platform's
+  Micros since_;           // first byte of the current command, or start of the linger
+  Micros last_active_at_;  // when accepted, or when the last response was written
+  std::string listener_;   // that accepted it; empty for the main one
   std::size_t index_ = 0;  // in ClientSide::connections_
 
  private:
@@ -78,10 +84,10 @@
   void start_lingering_close(core::CloseReason reason);
   void update_reading();
 
-  std::string unparsed_;  // bytes read that must wait to be parsed
+  std::string unparsed_;  // bytes read that cannot be parsed yet
   std::string out_;
   std::size_t out_at_ = 0;
-  std::size_t lingered_bytes_ = 0;  // bytes read and dropped since our FIN
+  std::size_t lingered_bytes_ = 0;  // bytes discarded since our FIN
   Micros stalled_since_ = 0;
 };
 
--- a/src/net/client_side.cpp
+++ b/src/net/client_side.cpp
@@ -12,7 +12,7 @@
 namespace {
 
 constexpr Micros kSweepInterval = kSecond / 20;
-// As many as may wait at a listener that goes.
+// The most connections that are accepted from the backlog of a listener before it closes.
 constexpr int kMaxBacklog = 4096;
 
 }  // namespace
@@ -87,7 +87,8 @@
   return 0;
 }
 
-/// Watches are level-triggered: without a pause the loop would spin. A close or the sweep ends it.
+/// Watches are level-triggered: without a pause the loop would spin. A closed connection or the
+/// sweep ends the pause.
 void ClientSide::pause_accepting(bool pause) {
   accept_paused_ = pause;
   for (auto& l : listeners_) l->watch->read(!pause);
@@ -95,8 +96,8 @@
 
 bool ClientSide::accept_pending(Listener& listener, int max_accepts) {
   while (max_accepts-- > 0) {
-    // Those that have said nothing have a third of the places: a crowd of them pushes out its own,
-    // not the clients that ask.
+    // Connections that have sent no command get a third of the limit, so that a crowd of them
+    // evicts only its own kind and not clients with requests.
     if (without_command_ >= limits_.connections / 3) evict_without_command();
     if (connections_.size() >= limits_.connections && !evict() &&
         connections_.size() >= limits_.connections + limits_.spare_connections) {
@@ -126,9 +127,9 @@
   return false;
 }
 
-/// Makes room: by closing a connection that only waits for the client's FIN, else by ending the one
-/// that has rested for longest, else by closing the one that is in the middle of a command for
-/// longest. False where each has a request open.
+/// Makes room for a connection: closes one that only waits for the client's FIN, else the one that
+/// has been idle longest, else the one that has been in the middle of a command longest. Returns
+/// false if every connection has a request open.
 bool ClientSide::evict() {
   ClientConnection* oldest = nullptr;
   for (auto& c : connections_)
@@ -150,9 +151,9 @@
   return evict_idle([](const ClientConnection& c) { return !c.command_received_; });
 }
 
-/// Ends the connection that has rested for longest of those that may end: a planned end, so that a
-/// request that has come on it in this very moment is taken, and another one ended. False where
-/// there is none.
+/// Closes the longest idle connection that `may_evict` accepts. The close is graceful: a request
+/// that arrives on it at this moment is served, and another connection is closed instead. Returns
+/// false if there is none.
 bool ClientSide::evict_idle(const std::function<bool(const ClientConnection&)>& may_evict) {
   std::vector<ClientConnection*> idle;
   for (auto& c : connections_)
@@ -168,9 +169,9 @@
   return false;
 }
 
-/// Bounds what slow readers and writers of long values make the router hold, whichever way they go
-/// about it: the connection that holds most is closed first. It hurts a client with large answers
-/// on a slow line when many others are slow as well.
+/// Limits the memory that slow readers and writers of long values can occupy, in whatever way: the
+/// connection with the most buffered bytes is closed first. The cost is borne by clients with large
+/// responses on slow links while many others are slow as well.
 void ClientSide::enforce_buffer_limit() {
   while (buffered_ > limits_.buffer_bytes) {
     ClientConnection* largest = nullptr;
@@ -184,23 +185,23 @@
 void ClientSide::sweep() {
   sweep_alarm_->set(kSweepInterval);
   Micros now = io_.now();
-  for (std::size_t k = connections_.size(); k-- > 0;) {  // from the end: closing moves the last one
+  for (std::size_t k = connections_.size(); k-- > 0;) {  // in reverse: closing moves the last one
     if (k >= connections_.size()) continue;
-    connections_[k]->poll_for_close();  // which may close it, and take others along
+    connections_[k]->poll_for_close();  // may close this and other connections
     if (k >= connections_.size()) continue;
     if (connections_[k]->timed_out(now))
       connections_[k]->close_timed_out();
     else if (draining_)
-      mark_dirty(*connections_[k]);  // its time for a first command may have run out
+      mark_dirty(*connections_[k]);  // its grace for a first command may be over
   }
   if (accept_paused_) pause_accepting(false);
   close_drained_listeners();
 }
 
-/// Lets listeners go that are not wanted any more, once what waits there is taken: an accept that
-/// fails for now says nothing of that.
+/// Closes listeners that are no longer configured once their backlog is empty. An accept that fails
+/// for a transient error does not show that it is.
 void ClientSide::close_drained_listeners() {
-  // Apart: making room for what is accepted looks at all listeners.
+  // Not inside erase_if: making room for an accepted connection iterates over all listeners.
   for (auto& l : listeners_)
     l->drained = l->draining && (l->shared || accept_pending(*l, kMaxBacklog));
   std::erase_if(listeners_, [](const auto& l) { return l->drained; });
@@ -266,8 +267,8 @@
   c.slot_bytes_ += piece.size();
   c.update_buffered();
   mark_dirty(c);
-  // What comes out of turn waits for the answers before it. And many slow readers at once get
-  // smaller buffers: the bound on all must not cost any its answer.
+  // A response that is not first in order waits for those before it. With many slow readers each
+  // gets a smaller buffer, so that the limit on all of them costs none its response.
   bool in_turn = &slot == &c.slots_.front();
   std::size_t buffered = slot.text.size() + (in_turn ? c.unsent() : 0);
   bool small = !in_turn || buffered_ >= limits_.buffer_bytes / 2;
@@ -288,7 +289,7 @@
 void ClientSide::abort_stream(PendingResponse&& response) {
   ResponseSlot* slot = std::exchange(response.slot_, nullptr);
   if (!slot) return;
-  slot->id = 0;  // who calls knows of its end
+  slot->id = 0;  // the caller handles the end of the request itself
   close(*slot->connection, CloseReason::kValueTruncated);
 }
 
@@ -300,7 +301,7 @@
 }
 
 void ClientSide::flush() {
-  // Flushing may parse held commands, whose answers make a connection dirty again.
+  // Flushing may parse deferred commands, whose responses mark a connection dirty again.
   for (std::size_t k = 0; k < dirty_.size(); ++k) {
     ClientConnection* c = dirty_[k];
     c->dirty_ = false;
--- a/src/net/client_side.hpp
+++ b/src/net/client_side.hpp
@@ -1,4 +1,5 @@
-// The listener and the client connections: commands in, answers out in the order of the commands.
+// The side of the router that faces clients: the listeners and the client connections. Reads
+// commands and writes their responses in the order of the commands.
 #pragma once
 
 #include <functional>
@@ -23,19 +24,20 @@
 
 class ClientConnection;
 
-/// The place of one command among the answers of its connection. The connection owns it; it is
-/// gone with the connection (Handler::on_gone) and once it is answered.
+/// The slot of one command in the response order of its connection. The connection owns it. It is
+/// released when the response is written and when the connection is closed
+/// (Handler::on_client_disconnected).
 struct ResponseSlot {
   ClientConnection* connection = nullptr;
   RequestId id = 0;
-  std::string text;            ///< the answer, while those before it are not whole
-  bool done = false;           ///< the whole answer is in `text` or written
-  bool backpressured = false;  ///< its long value waits until the client has read some
+  std::string text;            ///< the response, while earlier ones are incomplete
+  bool done = false;           ///< the whole response is in `text` or written
+  bool backpressured = false;  ///< its streamed value waits until the client has read more
 };
 
-/// The one final answer that a client waits for. Whoever holds it may give it, once: giving takes
-/// it away (ClientSide::answer), and it can't be copied. One that is empty was given, or nobody is
-/// left to get it.
+/// The right to send the one final response that a client waits for. It can be moved but not
+/// copied, and responding consumes it (ClientSide::respond). An empty one has been consumed, or its
+/// client has disconnected.
 class PendingResponse {
  public:
   PendingResponse() = default;
@@ -46,7 +48,7 @@
     return *this;
   }
   explicit operator bool() const { return slot_ != nullptr; }
-  /// The client is gone.
+  /// The client has disconnected: no response can be sent any more.
   void abandon() { slot_ = nullptr; }
 
  private:
@@ -54,90 +56,97 @@
   ResponseSlot* slot_ = nullptr;
 };
 
+/// Owns the listeners and all client connections.
 class ClientSide {
  public:
-  /// Told of what clients do. Calls come from within the event loop.
+  /// Receives the events of client connections. Calls come from within the event loop.
   class Handler {
    public:
     virtual ~Handler() = default;
-    /// A request was taken. The number that the handler gives it comes back with on_client_eof()
-    /// and on_gone(); 0 where it is answered already.
+    /// A request was received. The number that the handler returns comes back in on_client_eof()
+    /// and on_client_disconnected(); 0 if the request is answered already.
     virtual RequestId on_command(PendingResponse response, Command&& command) = 0;
-    /// A request was refused before it was taken, as its connection is one too many.
+    /// A command was rejected before it became a request, as its connection is over the limit.
     virtual void on_rejected(const Command& command) = 0;
-    /// The client sends nothing more; whether it still reads can't be told from that.
+    /// The client has ended its sending side. Whether it still reads cannot be known from that.
     virtual void on_client_eof(RequestId id) = 0;
-    /// The connection is closed and the slot with it.
+    /// The connection is closed and the slot released.
     virtual void on_client_disconnected(RequestId id) = 0;
-    /// More of the request's long value may come.
+    /// The client has read enough of the streamed value: more of it may be passed on.
     virtual void on_buffer_drained(RequestId id) = 0;
   };
+  /// Limits over all client connections.
   struct Limits {
-    std::size_t connections = 600;        ///< beyond, commands are refused as busy
-    std::size_t spare_connections = 50;   ///< so many beyond are accepted for that
-    std::size_t buffer_bytes = 8u << 20;  ///< held for all clients together, in and out
+    std::size_t connections = 600;       ///< above this, commands are rejected as busy
+    std::size_t spare_connections = 50;  ///< accepted above `connections`, to reject their commands
+    std::size_t buffer_bytes = 8u << 20;  ///< input and output buffered for all clients together
   };
 
-  /// `guard` outlives it.
+  /// `invariants` must outlive this object.
   ClientSide(Io& io, Handler& handler, Limits limits, core::InvariantChecker* invariants = nullptr);
   ~ClientSide();
 
-  /// Listens on `address`; false with the reason in `error`.
+  /// Listens on `address`. Returns false with the reason in `error`.
   bool listen(const sockaddr_in& address, std::string& error);
-  /// Takes connections from a listening socket that other processes take them from too.
+  /// Accepts connections from a listening socket that is shared with other processes.
   bool adopt(int descriptor, std::string& error);
-  /// Listens besides on just these addresses, by name; the name comes with the commands of its
-  /// connections. All or nothing: false with the reason in `error`, and nothing has changed. One
-  /// that goes is emptied first, and its connections go on.
+  /// Makes these addresses, by listener name, the only ones listened on besides the main listener.
+  /// The name is passed on with the commands of its connections. All or nothing: on failure returns
+  /// false with the reason in `error` and changes nothing. A listener that is no longer named
+  /// closes once its backlog is empty; its connections stay.
   bool update_listeners(const std::map<std::string, std::string>& addresses, std::string& error);
-  /// The port that a listener got, the platform's where no name is given; for tests that ask for
-  /// port 0. 0 where there is none.
+  /// The port that a listener got, for tests that ask for port 0; an empty name means the main
+  /// listener. 0 if there is no such listener.
   std::uint16_t port(const std::string& name = {}) const;
 
-  /// Gives the whole final answer to the request whose client calls it `id`. One that says Bad
-  /// closes the connection after it: who sends what can't be used may send any number at full
-  /// speed, and a new connection each time slows it down.
+  /// Sends the whole final response to the request with the client's own id `id`. A response of
+  /// kind Bad closes the connection after it: a client that sends invalid commands could send any
+  /// number of them at full speed, and a new connection for each slows it down.
   void respond(PendingResponse&& response, const std::string& id, const Reply& reply);
 
-  /// Gives the head of an answer whose value of `length` bytes follows by pass(). Whoever holds
-  /// `owed` owes the rest, and gives it with end(), or cuts it off with abort().
+  /// Sends the head of a response whose value of `length` bytes follows through stream(). The
+  /// holder of `response` must finish it with end_stream() or cut it off with abort_stream().
   void begin_stream(PendingResponse& response, const std::string& id, std::size_t length);
-  /// Gives more of the value. False where no more should come until Handler::on_buffer_drained().
+  /// Sends more of the value. Returns false if the caller is to wait for
+  /// Handler::on_buffer_drained() before it sends more.
   bool stream(PendingResponse& response, std::string_view piece);
+  /// Ends the response after the whole value.
   void end_stream(PendingResponse&& response);
-  /// Closes the connection, so that the client can tell that the value is not whole.
+  /// Closes the connection, so that the client can tell that the value is incomplete.
   void abort_stream(PendingResponse&& response);
 
-  /// Writes what answer() and the others have left. Call once an iteration of the loop.
+  /// Writes the buffered responses. Call once per iteration of the loop.
   void flush();
-  /// True when there is something to flush.
   bool dirty() const { return !dirty_.empty(); }
-  /// Planned end: takes the connections that wait in the backlog, unless those are for others as
-  /// well, stops listening and closes every connection as soon as it is between requests. Call
-  /// again while it listens().
+  /// Graceful shutdown: accepts the connections in the backlog, unless the socket is shared with
+  /// other processes, stops listening and closes every connection as soon as it has no request.
+  /// Call again while it listens().
   void drain();
+  /// Whether any listener is open.
   bool listens() const { return !listeners_.empty(); }
-  /// The last moment of a planned end, with no request open: closes every connection after what is
-  /// written to it, whatever its client has begun to send.
+  /// The end of a graceful shutdown, with no request open: closes every connection after its
+  /// buffered output, whatever its client has begun to send.
   void close_all();
   std::size_t connections() const { return connections_.size(); }
+  /// Bytes buffered for all connections.
   std::size_t buffered() const { return buffered_; }
 
  private:
   friend class ClientConnection;
+  /// One listening socket.
   struct Listener final : Watch::Target {
     explicit Listener(ClientSide& of) : side(of) {}
     void on_ready(unsigned) override { side.accept_pending(*this, kMaxAcceptsPerEvent); }
     ClientSide& side;
-    std::string name, address;  // both empty: the platform's
-    bool shared = false;        // others accept from it too
-    bool draining = false;      // goes once all that waits there is taken
-    bool drained = false;       // which it is
+    std::string name, address;  // both empty for the main listener
+    bool shared = false;        // other processes accept from it too
+    bool draining = false;      // closes once its backlog is empty
+    bool drained = false;       // the backlog is empty
     Socket socket;
     std::unique_ptr<Watch> watch;
   };
   bool start_accepting(std::unique_ptr<Listener> listener);
-  /// Takes connections that wait, `most` of them; true once none waits.
+  /// Accepts at most `max_accepts` connections; returns true once none is waiting.
   bool accept_pending(Listener& listener, int max_accepts);
   void pause_accepting(bool pause);
   void close_drained_listeners();
@@ -150,12 +159,12 @@
   void close(ClientConnection& connection, core::CloseReason reason);
   void respond_raw(ResponseSlot& slot, std::string_view text);
 
-  /// Read at once from one connection, so that a client that sends at full speed has no larger part
-  /// of the loop than others.
+  /// Bytes read from one connection at a time, so that a client that sends at full speed gets no
+  /// larger share of the loop than others.
   static constexpr std::size_t kReadBufferBytes = 16u << 10;
-  /// Answer bytes that may wait for a slow reader before its commands are read no more.
+  /// Above the high watermark of unsent output the commands of a slow reader are not read any more.
   static constexpr std::size_t kOutputHighWatermark = 128u << 10, kOutputLowWatermark = 16u << 10;
-  /// Accepted in one go, so that those that are open are served in between.
+  /// Connections accepted per event, so that open ones are served in between.
   static constexpr int kMaxAcceptsPerEvent = 16;
 
   Io& io_;
@@ -169,11 +178,11 @@
   std::vector<std::unique_ptr<ClientConnection>> connections_;
   std::vector<std::unique_ptr<ClientConnection>> closed_;  // freed at the end of an iteration
   std::vector<ClientConnection*> dirty_;
-  std::size_t without_command_ = 0;  // connections on which no whole command has come
-  std::size_t buffered_ = 0;         // bytes held for all connections
+  std::size_t without_command_ = 0;  // connections without one whole command so far
+  std::size_t buffered_ = 0;         // bytes buffered for all connections
   std::unique_ptr<char[]> read_buffer_;
   Command command_;                      // the one being read
-  std::list<ResponseSlot> spare_slots_;  // of answers that are written
+  std::list<ResponseSlot> spare_slots_;  // reused for later responses
 };
 
 }  // namespace violetusher::net
--- a/src/net/host_registry.cpp
+++ b/src/net/host_registry.cpp
@@ -24,7 +24,7 @@
   }
 }
 
-/// Whether the same process was told to leave before, or has left.
+/// Whether this process of the server was draining or removed before.
 bool HostRegistry::was_draining_or_removed(const Host& update) const {
   if (auto it = hosts_.find(update.server.id); it != hosts_.end())
     return it->second.server.health != Health::Ready &&
--- a/src/net/host_registry.hpp
+++ b/src/net/host_registry.hpp
@@ -1,6 +1,5 @@
-// What discovery has told of the cache servers, with the operators' word over it: a server that
-// they have taken out is `Draining` to all that hear of it here, whatever discovery says in
-// between.
+// The cache servers that discovery has listed, with the operators' bans applied: a banned server
+// appears as `Draining` in every list given out here, whatever discovery says meanwhile.
 #pragma once
 
 #include <deque>
@@ -16,28 +15,32 @@
 
 namespace violetusher::net {
 
+/// The listed servers and the bans over them.
 class HostRegistry {
  public:
   explicit HostRegistry(const HostList& initial_hosts) { store(initial_hosts); }
 
-  /// An answer of discovery came at `now`, with its own time `date` in it; see StartTimes.
+  /// A response of discovery came at `now`, with the time `date` of discovery in it; see
+  /// StartTimes.
   void on_response(Micros now, Micros date) { start_times_.on_response(now, date); }
-  /// Takes over what discovery tells and gives the list as the router is to take it. Entries that
-  /// could not be used stay as they were. `doubted`: discovery may know less than what is held, so
-  /// whoever was told to leave, or has left lately, stays so unless started anew.
+  /// Records a list from discovery and returns it as the router is to apply it. Entries that could
+  /// not be parsed keep their previous state. `possibly_stale`: the list may be older than the one
+  /// held, so a server that was draining, or was removed lately, stays so unless it has been
+  /// restarted.
   HostList apply(HostList&& update, bool possibly_stale = false);
-  /// Takes the server out, or puts it back. What the router is to hear of it; no hosts where
-  /// nothing changes for it.
+  /// Bans the server or lifts its ban. Returns the change for the router, without hosts if nothing
+  /// changes for it.
   HostList set_banned(const std::string& id, bool banned);
 
   bool is_banned(const std::string& id) const { return banned_.count(id) > 0; }
-  /// Whether an operator can mean this one: it is listed, or was taken out before it left.
+  /// Whether an operator may refer to this server: it is listed, or was banned before it was
+  /// removed.
   bool known(const std::string& id) const { return hosts_.count(id) > 0 || is_banned(id); }
   std::size_t size() const { return hosts_.size(); }
-  /// Of the list, as discovery named it; empty before the first.
+  /// Version of the list, as discovery named it; empty before the first list.
   const std::string& version() const { return version_; }
   const std::set<std::string>& banned_ids() const { return banned_; }
-  /// Calls `f` with each listed server as the router is to take it.
+  /// Calls `f` with each listed server as the router is to apply it.
   template <typename F>
   void each(F&& f) const {
     for (const auto& [id, host] : hosts_) f(with_ban(host));
@@ -49,10 +52,10 @@
   Host with_ban(Host host) const;
 
   std::string version_;
-  std::map<std::string, Host> hosts_;  // as told, those that have left not
+  std::map<std::string, Host> hosts_;  // as listed, without removed ones
   std::set<std::string> banned_;
   core::membership::StartTimes start_times_;
-  // Of those that have left, when they had started; the oldest is forgotten past kMaxRemoved.
+  // Start times of removed servers; the oldest removal is dropped above kMaxRemoved.
   static constexpr std::size_t kMaxRemoved = 4096;
   std::unordered_map<std::string, Micros> removed_;
   std::deque<std::string> removal_order_;
--- a/src/net/module_feed.hpp
+++ b/src/net/module_feed.hpp
@@ -1,5 +1,5 @@
-// What waits for its turn to be told to decision modules, in the order in which it happened: a
-// module is never called from within what another call has set off.
+// Events that wait to be delivered to decision modules, in the order in which they happened: a
+// module is never called from within the effects of another call.
 #pragma once
 
 #include <string>
@@ -11,19 +11,22 @@
 
 namespace violetusher::net {
 
+/// An attempt has ended.
 struct OutcomeEvent {
   std::uint32_t module;
   violetusher::Outcome outcome;
 };
+/// A request was received.
 struct RequestEvent {
   std::uint32_t module;
   violetusher::RequestId id;
 };
+/// The client of a request has disconnected, or its request was failed by the router.
 struct DisconnectEvent {
   std::uint32_t module;
   violetusher::RequestId id;
 };
-/// The first bytes of a long value have come.
+/// The first bytes of a streamed value have come.
 struct StreamBeginEvent {
   std::uint32_t module;
   violetusher::RequestId id;
@@ -31,21 +34,26 @@
   int attempt;
   violetusher::Micros latency;
 };
+/// The module was created.
 struct StartEvent {
   std::uint32_t module;
 };
+/// A host list, or a change of it, came from discovery.
 struct ListEvent {
   std::uint32_t module;
   violetusher::ListScope scope;
   std::vector<violetusher::Server> servers;
 };
+/// A timer that the module has set has fired.
 struct TimerEvent {
   std::uint32_t module;
   std::uint64_t token;
 };
+/// Any event for a decision module.
 using ModuleEvent = std::variant<StartEvent, RequestEvent, OutcomeEvent, DisconnectEvent,
                                  StreamBeginEvent, TimerEvent, ListEvent>;
 
+/// A first-in, first-out queue of module events.
 class ModuleFeed {
  public:
   template <typename E>
@@ -53,9 +61,9 @@
     events_.emplace_back(std::forward<E>(event));
   }
   bool empty() const { return next_ == events_.size(); }
-  /// Must not be empty. What was taken before is gone.
+  /// The queue must not be empty. Invalidates the event returned before.
   ModuleEvent& pop() {
-    // Its memory is kept, so that a warm feed allocates nothing.
+    // The memory is kept, so that a warm queue allocates nothing.
     current_ = std::move(events_[next_++]);
     if (empty()) {
       events_.clear();
--- a/src/net/pool_set.cpp
+++ b/src/net/pool_set.cpp
@@ -9,11 +9,11 @@
 using violetusher::ListScope;
 using violetusher::Server;
 
-// What a module costs at least with its tables; see docs/design/request-core.md.
+// The least memory of a module with its tables; see docs/design/request-core.md.
 constexpr std::size_t kModuleBytes = 128u << 10;
-constexpr std::size_t kModuleMemoryDivisor = 4;  // of the memory that the router may use
+constexpr std::size_t kModuleMemoryDivisor = 4;  // of the router's memory limit
 constexpr Micros kModuleIdleTimeout =
-    60 * kSecond;  // a module without requests is given back after this
+    60 * kSecond;  // a module without requests is freed after this time
 constexpr Micros kIdleCheckInterval = kSecond;
 
 std::vector<Server> servers_of(const HostList& list) {
@@ -34,7 +34,7 @@
   handler_.on_module_list(kWholeList, ListScope::Cached, servers_of(config.initial_hosts));
 }
 
-/// Each module draws from a seed of its own; that of the whole list from the router's.
+/// Each module has a random seed of its own; the whole list's is the router's.
 void PoolSet::create_module(std::uint32_t number, const std::string& name,
                             const core::config::Selection& selection, Micros now) {
   auto module = std::make_unique<Module>();
@@ -125,7 +125,8 @@
   return it == modules_.end() ? nullptr : it->second.get();
 }
 
-/// What of a list concerns a pool, told to its module. What left concerns all that had it.
+/// Sends a module the part of a list that concerns its pool. A removed server concerns every pool
+/// that had it.
 void PoolSet::send_list(std::uint32_t number, Module& module, ListScope scope,
                         const std::vector<Server>& servers) {
   if (!module.selection.servers.empty()) return;
@@ -165,7 +166,7 @@
     handler_.on_module_list(number, ListScope::Failed, {});
 }
 
-/// For modules that are made later.
+/// Stores the list for modules that are created later.
 void PoolSet::store(HostList&& list) {
   if (list.whole) {
     hosts_ = std::move(list);
@@ -197,7 +198,7 @@
     list.hosts.push_back(host);
   };
   for (const std::string& address : pool_addresses_) add(address);
-  for (const auto& [number, module] : modules_)  // those that are leaving still need theirs
+  for (const auto& [number, module] : modules_)  // modules that are to be freed still need theirs
     for (const std::string& address : module->selection.servers) add(address);
   return list;
 }
@@ -208,7 +209,7 @@
   return with_addresses(std::move(list));
 }
 
-/// Gives back the module that has been without requests for longest, and for `idle_for` at least.
+/// Frees the module that has been without requests longest, if for `idle_for` at least.
 bool PoolSet::free_idle(Micros now, Micros idle_for) {
   auto oldest = modules_.end();
   for (auto it = modules_.begin(); it != modules_.end(); ++it)
@@ -250,8 +251,8 @@
   });
 }
 
-/// Price caches of the discovery list drop one another's repeats where the class's group is all of
-/// them; fixed addresses are not known to belong to it.
+/// Price caches of the discovery list drop one another's repeats if the class's group is all of
+/// them; fixed addresses are not known to belong to the group.
 bool PoolSet::shares_deduplication(const std::string& name) const {
   const core::config::Pool* configured = pool(name);
   if (!configured || !configured->servers.empty()) return false;
--- a/src/net/recycled_queue.hpp
+++ b/src/net/recycled_queue.hpp
@@ -1,5 +1,5 @@
-// A queue whose elements are not destroyed when they are taken out: the next one that comes finds
-// the memory of their texts. It holds as many elements as it ever had at once.
+// A queue that does not destroy removed elements: the next element pushed reuses the memory of
+// their strings. Its capacity is the largest size that it has had.
 #pragma once
 
 #include <cstddef>
@@ -8,20 +8,21 @@
 
 namespace violetusher::net {
 
+/// See the top of this file.
 template <typename T>
 class RecycledQueue {
  public:
   bool empty() const { return size_ == 0; }
   std::size_t size() const { return size_; }
-  /// In the order in which they came. `k` must be below size().
+  /// The element `k` places behind the front. `k` must be below size().
   T& operator[](std::size_t k) { return items_[slot_of(k)]; }
   const T& operator[](std::size_t k) const { return items_[slot_of(k)]; }
   T& front() { return (*this)[0]; }
   const T& front() const { return (*this)[0]; }
   T& back() { return (*this)[size_ - 1]; }
 
-  /// A new last element, as one that was taken out has left it, or made anew. References to others
-  /// are void afterwards.
+  /// Appends an element, in the state in which a removed one was left, or new. Invalidates
+  /// references to other elements.
   T& push() {
     if (size_ == items_.size()) grow();
     ++size_;
@@ -32,7 +33,7 @@
     --size_;
   }
   void pop_back() { --size_; }
-  /// Takes the element at `k` out; those behind it move up.
+  /// Removes the element at `k`; those behind it move up.
   void erase(std::size_t k) {
     for (; k + 1 < size_; ++k) std::swap((*this)[k], (*this)[k + 1]);
     pop_back();
--- a/src/net/request_actions.cpp
+++ b/src/net/request_actions.cpp
@@ -1,5 +1,5 @@
-// What RequestCore does at its modules' word: tells them of a request, and carries out what they
-// decide.
+// The part of RequestCore that deals with decision modules: describes requests to them and carries
+// out their actions.
 #include <algorithm>
 
 #include "request_core.hpp"
@@ -18,7 +18,7 @@
   OpenRequest* open = table_.find(id);
   if (!open) return false;
   --open->undelivered_events;
-  if (open->answered()) {  // gone before the module heard of it
+  if (open->answered()) {  // answered before the module was notified of it
     release_if_done(*open);
     return false;
   }
@@ -51,12 +51,12 @@
 
 void RequestCore::send(const violetusher::Send& a) {
   OpenRequest* open = table_.find(a.id);
-  if (!open) return;  // the module outlives no request: see release_if_done
+  if (!open) return;  // the request is released already: see release_if_done
   int attempt = static_cast<int>(open->attempts.size());
   Micros now = deps_.io.now();
   bool budget_spent = open->traffic && !open->answered() && !within_retry_budget(*open);
   open->attempts.push_back({.server = a.server, .started_at = now});
-  // An answer may have come while the module did not know of it yet.
+  // The request may have been answered before the module was notified of that.
   if (budget_spent || open->answered() || now >= open->deadline) {
     if (!budget_spent && open->answered())
       record_event(Kind::kAttemptAfterAnswer, a.id, attempt, 0, 0, a.server);
@@ -73,8 +73,8 @@
   deps_.servers.send(a.server, a.id, attempt, open->command, now + wait, a.send_before);
 }
 
-/// The budget's word on another attempt. Where it says no and nothing else is under way, the
-/// request gets its final answer now: a refusal only where trying again is harmless.
+/// Asks the retry budget for another attempt. If it denies one and no attempt is in flight, the
+/// request gets its final response now; it is rejected as busy only where trying again is harmless.
 bool RequestCore::within_retry_budget(OpenRequest& open) {
   Micros now = deps_.io.now();
   if (open.attempts.empty()) {
@@ -119,8 +119,8 @@
   report_outcome(*open, a.attempt, status, nullptr);
 }
 
-/// A timer of a request goes with it: the module would be called for nothing, and at a high rate
-/// what waits for deadlines long past is most of what there is.
+/// A timer of a request is cancelled with the request. Otherwise the module would be called in
+/// vain, and at a high rate most of the timers would wait for deadlines of requests long answered.
 void RequestCore::set_module_timer(std::uint32_t module, const violetusher::Timer& a) {
   OpenRequest* open = a.request ? table_.find(a.request) : nullptr;
   if (a.request && !open) return;
--- a/src/net/request_core.cpp
+++ b/src/net/request_core.cpp
@@ -7,11 +7,11 @@
 
 using core::flight::Kind;
 
-// A request that the module has left open this long after its time gets its answer all the same.
+// A request that its module leaves open this long after the deadline is failed by the router.
 constexpr Micros kFinalAnswerGrace = 15 * kMillisecond;
-// An answer later than this after the client's time is told as close to a broken rule.
+// A response later than this after the deadline is reported as an alert.
 constexpr Micros kLateAnswerTolerance = 2 * kFinalAnswerGrace;
-// Timers for each open request that may be: its own, and one for each attempt.
+// Timers per open request: its own, and one for each attempt.
 constexpr std::size_t kTimersPerRequest = 8;
 
 const Reply kFailedReply(Reply::Kind::Failed);
@@ -35,9 +35,9 @@
 
 // ---- clients ----
 
-/// Takes what the settings know. A class or tenant that they don't, or a keyed write without its
-/// key, means something else to a cache server or nothing, and an id that is open already would
-/// make two requests' answers look alike.
+/// Accepts only what the settings know. An unknown class or tenant, or a keyed write without its
+/// key, is undefined at a cache server or means something else there. An id that is already open
+/// would make the responses of two requests indistinguishable.
 RequestId RequestCore::on_command(PendingResponse response, Command&& command) {
   const violetusher::Settings& settings = deps_.config.settings;
   const auto& classes = settings.classes;
@@ -58,10 +58,11 @@
   if (table_.over_memory_limit())
     return reject(id, std::move(response), command, kBusyReply, Reason::kMemoryLimit);
 
-  // Nobody waits longer than the class lets him, so no request is held for longer.
+  // No client waits longer than the deadline of the class, so no request is held longer than that.
   Micros now = deps_.io.now();
   Micros wait = std::min(static_cast<Micros>(command.wait_ms * 1000), type->deadline);
-  if (command.work && *command.work > type->deadline) command.work.reset();  // no guess at all
+  if (command.work && *command.work > type->deadline)
+    command.work.reset();  // not a plausible estimate
 
   core::TrafficPolicy::Ticket ticket;
   std::uint32_t module = PoolSet::kWholeList;
@@ -111,7 +112,7 @@
                                                         : End::kError);
 }
 
-/// The final answer to a request that never comes to the table.
+/// Sends the final response to a request that never enters the table.
 RequestId RequestCore::reject(RequestId id, PendingResponse&& response, const Command& command,
                               const Reply& reply, Reason why) {
   record_event(Kind::kReceived, id, -1, 0, static_cast<std::int64_t>(command.wait_ms * 1000),
@@ -122,10 +123,11 @@
   return 0;
 }
 
-/// A client that closes has gone away (PROTOCOL), and from here its close looks like one of its
-/// sending side alone. Its attempts are given up at once: where clients leave early and ask again,
-/// what they left behind ran on unseen by the module and filled the servers. One that still reads
-/// gets its final answer now; it hurts clients that end their sending before they have read.
+/// By PROTOCOL a client that closes has left, and a close cannot be told apart from a half-close
+/// here. Its attempts are abandoned at once: with clients that leave early and ask again, abandoned
+/// attempts ran on unseen by the module and filled the servers. A client that still reads gets its
+/// final response now. The cost is borne by clients that half-close before they have read their
+/// responses.
 void RequestCore::on_client_eof(RequestId id) {
   OpenRequest* open = table_.find(id);
   if (!open || open->answered()) return;
@@ -156,14 +158,14 @@
   deps_.feed.push(DisconnectEvent{open.module, open.id});
 }
 
-/// What every final answer does to the books, however it is given.
+/// Bookkeeping of every final response, however it is sent.
 void RequestCore::record_final_response(OpenRequest& open, Reply::Kind kind) {
   if (open.traffic) open.traffic->end(deps_.io.now(), open.ticket, kind == Reply::Kind::Busy);
   count_outcome(open.command.type, kind);
   --unanswered_;
 }
 
-/// The one final answer. Whoever comes second is stopped here.
+/// Sends the one final response. A second one is stopped here.
 void RequestCore::respond(OpenRequest& open, const Reply& reply, Reason why) {
   deps_.invariants.on_final_response(open.id, !open.answered());
   if (open.answered()) {
@@ -230,8 +232,8 @@
   deps_.invariants.on_attempt_start(start);
 }
 
-/// The final answer to a request, but for the rest of its value: from here it has no deadline and
-/// no other attempt, and what can go wrong shows as a value that is not whole.
+/// The final response except for the rest of its value: from here on the request has no deadline
+/// and no other attempt, and a failure shows to the client as an incomplete value.
 bool RequestCore::on_stream_begin(RequestId id, int attempt, const Answer& head) {
   OpenRequest* open = table_.find(id);
   if (!open || open->answered()) return false;
@@ -268,7 +270,7 @@
                          open->streaming_attempt);
 }
 
-/// The attempt's patience, or the client's, is over.
+/// Handles the timeout of an attempt or the deadline of the request.
 void RequestCore::on_timer(const Timers::Task& task) {
   OpenRequest* open = table_.find(task.token);
   if (!open) return;
@@ -276,7 +278,7 @@
     open->deadline_timer = 0;
     if (!open->answered()) {
       respond(*open, kFailedReply, Reason::kDeadline);
-      report_disconnect(*open);  // or the module would hold on to it
+      report_disconnect(*open);  // the module would keep the request otherwise
     }
     return;
   }
@@ -287,8 +289,8 @@
     int attempt = static_cast<int>(k);
     if (!a.in_flight || attempt == open->streaming_attempt || (!all && attempt != task.attempt))
       continue;
-    // Where there may be no second copy the next attempt waits until this one is over, and one
-    // whose connection stays open for others is not.
+    // Where hedging is not allowed the next attempt waits until this one is over, and it is not
+    // over while its connection stays open for others.
     bool alone = all || deps_.config.settings.may_hedge;
     if (!alone && !deps_.servers.may_abandon(a.server, open->id, attempt)) continue;
     Status status = deps_.servers.cancel(a.server, open->id, attempt);
@@ -309,7 +311,7 @@
   a.may_have_run =
       status != Status::Overloaded && status != Status::ConnectFailed && status != Status::NotSent;
   deps_.timers.cancel(a.timeout);
-  // Cancelled and moot ones tell nothing, a miss is an answer.
+  // Cancelled and unsent attempts say nothing about the server; a miss is an answer.
   if (open.traffic && status != Status::Cancelled && status != Status::NotSent)
     open.traffic->on_attempt_end(deps_.io.now(), open.ticket,
                                  status != Status::Ok && status != Status::Miss);
@@ -329,8 +331,9 @@
   deps_.feed.push(std::move(e));
 }
 
-/// Nothing more goes out for a request that has its answer, or whose client has gone: what waits
-/// for a connection or its turn is taken back here, whether or not attempts may be cancelled.
+/// Nothing more is sent for a request that is answered or whose client has disconnected: attempts
+/// that wait for a connection or for their turn are withdrawn, whether or not attempts may be
+/// cancelled.
 void RequestCore::withdraw_unsent(OpenRequest& open) {
   for (std::size_t k = 0; k < open.attempts.size(); ++k) {
     int attempt = static_cast<int>(k);
--- a/src/net/request_core.hpp
+++ b/src/net/request_core.hpp
@@ -1,5 +1,6 @@
-// The life of a request: taken, routed and admitted, told to its module, attempted as the module
-// says, answered once, and forgotten when nothing of it is left. The one owner of the table.
+// The life of a request: received, routed and admitted, passed to its decision module, attempted as
+// the module decides, answered once, and released when nothing refers to it any more. Sole owner of
+// the request table.
 #pragma once
 
 #include <functional>
@@ -15,9 +16,12 @@
 
 namespace violetusher::net {
 
+/// Receives the events of both sides and the actions of decision modules, and owns every open
+/// request.
 class RequestCore final : public ClientSide::Handler, public ServerSide::Handler {
  public:
-  /// What it works with. All outlive it; the two sides may be made after it.
+  /// What the core works with. All of it must outlive the core; the client and server sides may be
+  /// constructed after it.
   struct Dependencies {
     Io& io;
     const Config& config;
@@ -32,39 +36,43 @@
   };
   RequestCore(const Dependencies& dependencies, RequestTable::Bounds bounds);
 
-  /// What an operator file makes of requests from now on; those that are open keep theirs.
+  /// Applies a traffic policy to requests from now on; open requests keep theirs.
   void set_traffic_policy(std::shared_ptr<core::TrafficPolicy> traffic) {
     traffic_policy_ = std::move(traffic);
   }
-  /// What new settings say of the table.
+  /// Applies the table bounds of new settings.
   void update_bounds(RequestTable::Bounds bounds) { table_.set_bounds(bounds); }
-  /// Tells `account`, which outlives this, what is refused.
+  /// Reports rejected requests to `activity_recorder`, which must outlive this object.
   void attach_activity_recorder(core::audit::ActivityRecorder& activity_recorder) {
     activity_recorder_ = &activity_recorder;
   }
-  /// Called where a rule is close to being broken, with what it is about.
+  /// `alert` is called with an event name when a request comes close to violating an invariant.
   void on_alert(std::function<void(const char* what)> alert) { alert_ = std::move(alert); }
 
-  // What a module decides.
+  // The actions of a decision module.
   void send(const violetusher::Send& a);
   void refuse(const violetusher::Refuse& a);
   void fail(const violetusher::Fail& a);
   void cancel(const violetusher::Cancel& a);
   void set_module_timer(std::uint32_t module, const violetusher::Timer& a);
 
-  /// What the module is told of a request; false where that has become pointless.
+  /// Fills in what the module is given of a request. Returns false if the request is answered
+  /// already.
   bool describe(RequestId id, violetusher::Request& request);
-  /// An event of the request has been told to its module, or was dropped with it.
+  /// An event of the request has been delivered to its module, or discarded with it.
   void on_event_delivered(RequestId id);
-  /// Whether the request has its answer, or is forgotten.
+  /// Whether the request is answered or released.
   bool finished(RequestId id);
 
+  /// A timer of a request has fired.
   void on_timer(const Timers::Task& task);
-  /// The last moment before the end: nobody waits for an answer that will never come.
+  /// Fails every open request at the end of a shutdown, so that no client is left without a
+  /// response.
   void fail_all();
 
+  /// The open requests.
   const RequestTable& table() const { return table_; }
-  /// Requests that have no answer yet and whose client waits for one.
+  /// Requests without a final response whose client is still connected.
   std::size_t unanswered() const { return unanswered_; }
 
   // ClientSide::Handler
--- a/src/net/request_table.cpp
+++ b/src/net/request_table.cpp
@@ -5,7 +5,7 @@
 namespace violetusher::net {
 namespace {
 
-// Entries that are kept for the next requests, and the most that the texts of each may hold.
+// Nodes kept for reuse, and the largest command whose memory is kept with its node.
 constexpr std::size_t kMaxSpareNodes = 128;
 constexpr std::size_t kMaxSpareCommandBytes = 4096;
 
--- a/src/net/request_table.hpp
+++ b/src/net/request_table.hpp
@@ -1,4 +1,4 @@
-// The one table of open requests: who they are, what they hold, and the one final answer each.
+// The table of open requests: their commands, attempts and the one final response of each.
 #pragma once
 
 #include <memory>
@@ -18,58 +18,66 @@
 struct Attempt {
   std::string server;
   Micros started_at = 0;
-  Micros first_byte_at = 0;  ///< the first bytes of a long value came; 0 = none
-  bool in_flight = true;     ///< its outcome has not been told to the module
+  Micros first_byte_at = 0;  ///< when the first bytes of a streamed value came; 0 = none yet
+  bool in_flight = true;     ///< its outcome has not been reported to the module
   bool may_have_run = false;
   Timers::Handle timeout = 0;
 };
 
+/// One request from its reception until nothing refers to it any more.
 struct OpenRequest {
   RequestId id = 0;
   Command command;
-  PendingResponse response;  ///< empty once the final answer is given, or nobody is left to get one
+  PendingResponse response;  ///< empty once sent or the client has disconnected
   Micros deadline = 0;
-  int undelivered_events = 0;  ///< events of it on their way to the module
+  int undelivered_events = 0;  ///< events of it queued for the module
   std::vector<Attempt> attempts;
-  // Of an answer that is passed on while it comes: it has been given, and its rest is owed still.
-  int streaming_attempt = -1;  ///< the attempt that brings it
+  // Of a streamed response: it counts as sent, and the rest of its value is pending.
+  int streaming_attempt = -1;  ///< the attempt that delivers it; -1 if none
   PendingResponse stream;
-  std::uint32_t module = 0;                      ///< whose it is; see PoolSet
-  std::shared_ptr<core::TrafficPolicy> traffic;  ///< none where no operator file is in use
+  std::uint32_t module = 0;                      ///< its number; see PoolSet
+  std::shared_ptr<core::TrafficPolicy> traffic;  ///< null if no operator file is in use
   core::TrafficPolicy::Ticket ticket;
   Timers::Handle deadline_timer = 0;
-  std::vector<Timers::Handle> module_timers;  ///< timers that its module has set for it
+  std::vector<Timers::Handle> module_timers;  ///< set by its module for it
 
-  /// As made anew, but for the memory of its texts and lists, which is kept for the next one.
+  /// Resets to the initial state, but keeps the memory of strings and vectors for the next request.
   void clear();
+  /// The final response is sent, or its client has disconnected.
   bool answered() const { return !response; }
-  /// Nothing is owed, told or out any more.
+  /// No response, event or attempt is pending.
   bool done() const;
+  /// Whether any attempt has no outcome yet.
   bool any_in_flight() const;
   Attempt& attempt(int number) { return attempts[static_cast<std::size_t>(number)]; }
 };
 
+/// Open requests by number, and the clients' own ids of them.
 class RequestTable {
  public:
+  /// Limits on what the table holds.
   struct Bounds {
     std::size_t requests = 0;
-    std::size_t bytes = 0;  ///< of their commands
+    std::size_t bytes = 0;  ///< total size of their commands
   };
   explicit RequestTable(Bounds bounds) : bounds_(bounds) {}
-  /// Other bounds from now on; what is open stays.
+  /// Replaces the bounds; open requests stay.
   void set_bounds(Bounds bounds) { bounds_ = bounds; }
 
+  /// The limit on requests is reached.
   bool full() const { return open_.size() >= bounds_.requests; }
+  /// The limit on bytes is reached.
   bool over_memory_limit() const { return bytes_ >= bounds_.bytes; }
-  /// Whether a request is open that its client calls `id`: two would have answers that look alike.
+  /// Whether a request with the client's id `id` is open: two would have indistinguishable
+  /// responses.
   bool has_client_id(const std::string& id) const { return ids_.count(id) > 0; }
-  /// Enters a request, whose number is `id`. Its client's own id must not be known. What `command`
-  /// holds afterwards is of no more use than its memory.
+  /// Inserts a request with the number `id`. The client's own id must not be in the table. Swaps
+  /// `command`: what it holds afterwards is unspecified and good only for reuse of its memory.
   OpenRequest& insert(RequestId id, Command&& command);
-  /// None where it is over.
+  /// Null if the request is released.
   OpenRequest* find(RequestId id);
   void erase(OpenRequest& open);
-  /// A number that no request of this process has had; never 0.
+  /// A number that no other request of this process has had; never 0.
   RequestId next_id() { return next_id_++; }
 
   std::size_t size() const { return open_.size(); }
@@ -88,8 +96,8 @@
 
   Bounds bounds_;
   Open open_;
-  Ids ids_;  // into the commands of open_
-  // Of requests that are over, for the next ones: once warm the table allocates nothing.
+  Ids ids_;  // views into the commands of open_
+  // Nodes of released requests, for reuse: once warm the table allocates nothing.
   std::vector<Open::node_type> spare_open_;
   std::vector<Ids::node_type> spare_ids_;
   std::size_t bytes_ = 0;
--- a/src/net/router.cpp
+++ b/src/net/router.cpp
@@ -11,21 +11,22 @@
 
 // Descriptors for the listener, the event base, discovery and the log.
 constexpr std::size_t kReservedSockets = 24;
-// And for operators: their listener, their connections, the file of bans.
+// Descriptors for operators: their listener, their connections, the file of bans.
 constexpr std::size_t kOperatorSockets = OperatorListener::kMaxConnections + 4;
 constexpr std::size_t kSpareClientConnections = 50;
-// Memory, as parts of what the router may use: the commands of open requests, and what is buffered
-// for clients. An open request costs kOverheadBytesPerRequest beside its command: its places in the
-// tables here and in the module, timers, and its answer on the way.
+// Memory limits, as divisors of the router's memory: for the commands of open requests, and for the
+// buffers of clients. An open request takes kOverheadBytesPerRequest besides its command: its
+// entries in the tables here and in the module, its timers and its response.
 constexpr std::size_t kRequestMemoryDivisor = 4, kBufferMemoryDivisor = 8;
 constexpr std::size_t kOverheadBytesPerRequest = 4096;
-// After SIGTERM the front still sends new connections for up to 0.4 s, and what comes later than
-// 0.7 s is ours to lose no more: in between the router stops listening.
+// After SIGTERM the front still sends new connections for up to 0.4 s, and those that come after
+// 0.7 s are not the router's responsibility any more: it stops listening in between.
 constexpr Micros kStopListeningAfter = kSecond / 2;
 constexpr Micros kStopPollInterval = 20 * kMillisecond;
-// SIGKILL comes 0.7 s after the longest deadline, which the platform takes for kMaxDeadline at the
-// most. Before that whatever is open is failed, and clients have kShutdownLinger to read it and
-// close: an end of the process over unread bytes resets connections and takes unread answers along.
+// SIGKILL comes 0.7 s after the longest deadline, which the platform caps at kMaxDeadline. Before
+// that the open requests are failed, and clients have kShutdownLinger to read their responses and
+// close: a process that exits with unread bytes resets the connections, which discards unread
+// responses.
 constexpr Micros kMaxDeadline = 3 * kSecond;
 constexpr Micros kShutdownMargin = 600 * kMillisecond;
 constexpr Micros kShutdownLinger = 60 * kMillisecond;
@@ -89,7 +90,7 @@
       discovery_(io, config.discovery, config.initial_hosts.version,
                  watch_timing_of(config.settings), config.seed, *this, log),
       operations_(io, config_, metrics_, *this, log),
-      alarm_(io.alarm([this] { armed_at_ = 0; })),  // run() rings what is due
+      alarm_(io.alarm([this] { armed_at_ = 0; })),  // run() handles the timers that are due
       stop_alarm_(io.alarm([this] { advance_shutdown(); })),
       settings_transition_alarm_(io.alarm([this] { update_settings(next_settings_); })) {
   for (const auto& c : config_.settings.classes) metrics_.add_class(c.name);
@@ -111,8 +112,8 @@
   invariants_.on_start(operations_.bans_known());
   if (config_.accept_fd < 0) return clients_.listen(*address, error);
   if (!clients_.adopt(config_.accept_fd, error)) return false;
-  // Another process may have served until now: what it was told binds this one at once, and the
-  // known list may be as old as the first start.
+  // Another process may have served until now. What discovery told it binds this one at once, and
+  // the initial host list may be as old as the first start.
   discovery_.fetch();
   return true;
 }
@@ -126,10 +127,10 @@
 }
 
 void Router::apply_model(core::config::Model model) {
-  // A file without routes leaves requests to the whole list, as no file does.
+  // With a file without routes requests go to the whole list, as without a file.
   bool routes = !model.routes.empty();
   if (!routes && !traffic_policy_) return;
-  // What is held of the list may be as old as the start, unless it is the start.
+  // After the start the host list that is kept for pools may be as old as the start.
   if (!traffic_policy_ && running_) discovery_.fetch();
   traffic_policy_ = std::make_shared<core::TrafficPolicy>(std::move(model), traffic_policy_.get());
   pools_.set_traffic_policy(traffic_policy_);
@@ -163,7 +164,7 @@
     do {
       run_due_timers();
       deliver_events();
-      // Requests go on before answers go back: they have the longer way.
+      // Requests are written before responses, as they have the longer way to go.
       servers_.flush();
       clients_.flush();
       io_.update_time();
@@ -178,7 +179,8 @@
 void Router::stop() {
   if (stopping_since_) return;
   stopping_since_ = io_.now();
-  // What waits at a shared listener is another process's; what waits at our own nobody else takes.
+  // The backlog of a shared listener is left to the other process; nobody else accepts from our
+  // own.
   stop_alarm_->set(config_.accept_fd < 0 ? kStopListeningAfter : 0);
 }
 
@@ -212,7 +214,8 @@
   if (config.memory_bytes != config_.memory_bytes || config.sockets != config_.sockets)
     differs("limits");
   if (config.operator_listen != config_.operator_listen) differs("operator");
-  // What is there now may itself be a change-over; the classes of both are taken until its end.
+  // The current settings may themselves be a transition; the classes of both are accepted until its
+  // end.
   try {
     update_settings(core::ops::strictest_of(config_.settings, config.settings));
   } catch (const std::invalid_argument& e) {
@@ -221,7 +224,7 @@
                {{"reason", std::string_view(e.what())}});
     return false;
   }
-  next_settings_ = config.settings;  // not before they are known to be good
+  next_settings_ = config.settings;  // only once they are known to be valid
   settings_transition_alarm_->set(core::ops::kSettingsTransition);
   config_.connection_settings = config.connection_settings;
   servers_.update_limits(server_limits(config));
@@ -277,7 +280,7 @@
   auto next = timers_.next();
   if (!next || (armed_at_ && armed_at_ <= *next)) return;
   armed_at_ = *next;
-  io_.update_time();  // what has been written since took its time
+  io_.update_time();  // what was written since then took time
   alarm_->set(std::max<Micros>(armed_at_ - io_.now(), 0));
 }
 
@@ -298,14 +301,14 @@
   while (!feed_.empty()) {
     ModuleEvent& event = feed_.pop();
     std::uint32_t number = std::visit([](const auto& e) { return e.module; }, event);
-    // None for its last timer, or a list that came too late for it.
+    // The module may be gone: removed before its last timer, or before a list was delivered.
     if (PoolSet::Module* module = pools_.find(number))
       apply_actions(number, deliver(*module->balancer, event));
     if (auto* e = std::get_if<OutcomeEvent>(&event)) core_.on_event_delivered(e->outcome.id);
     if (auto* e = std::get_if<DisconnectEvent>(&event)) core_.on_event_delivered(e->id);
     if (auto* e = std::get_if<StreamBeginEvent>(&event)) core_.on_event_delivered(e->id);
   }
-  pools_.free_modules(io_.now());  // once a turn: no call of a module is under way
+  pools_.free_modules(io_.now());  // once per iteration, while no module is being called
 }
 
 const violetusher::Actions& Router::deliver(violetusher::Balancer& balancer, ModuleEvent& event) {
@@ -333,8 +336,8 @@
     if (auto* a = std::get_if<violetusher::Fail>(&action)) core_.fail(*a);
     if (auto* a = std::get_if<violetusher::Cancel>(&action)) core_.cancel(*a);
     if (auto* a = std::get_if<violetusher::Timer>(&action)) core_.set_module_timer(module, *a);
-    // The list is asked for on behalf of all pools by the one that has all of it. A module's Probe
-    // is let be: no site that the module was made for allows it.
+    // The module of the whole list asks for lists on behalf of all pools. Probe is ignored: no site
+    // that the module was made for allows it.
     if (module != PoolSet::kWholeList) continue;
     if (std::holds_alternative<violetusher::Watch>(action)) discovery_.watch();
     if (std::holds_alternative<violetusher::Fetch>(action)) discovery_.fetch();
--- a/src/net/router.hpp
+++ b/src/net/router.hpp
@@ -1,6 +1,6 @@
-// The router's wiring: its parts, the loop that drives them, and what it takes over while running.
-// What happens on sockets becomes calls on decision modules here, and their actions become I/O;
-// nothing else calls a module.
+// Wires the router together: its components, the event loop that drives them, and configuration
+// changes at run time. Turns socket events into calls to decision modules and their actions into
+// I/O; nothing else calls a module.
 #pragma once
 
 #include <functional>
@@ -25,59 +25,62 @@
 
 namespace violetusher::net {
 
+/// One router: client and server connections, discovery, operators and decision modules.
 class Router final : Discovery::Handler, PoolSet::Handler, Operations::Handler {
  public:
-  /// Throws ConfigError when the configuration can't be used.
+  /// Throws ConfigError if the configuration cannot be used.
   Router(Io& io, const Config& config, Log& log);
 
-  /// Whether it is known which servers may be sent to; false while what outlives the process can't
-  /// be read for now. Call again, and listen only then.
+  /// Whether the banned servers are known; false while the stored bans cannot be read. Call again,
+  /// and listen only once it is true.
   bool may_serve() { return operations_.bans_known(); }
-  /// False with the reason in `error`.
+  /// Returns false with the reason in `error`.
   bool listen(std::string& error);
-  /// Called once a turn of the loop, which turns many times a second.
+  /// Sets a function that is called once per iteration of the loop, many times a second.
   void on_each_iteration(std::function<void()> call) { on_each_iteration_ = std::move(call); }
-  /// Runs until stop() has been carried out.
+  /// Runs until a shutdown started by stop() is complete.
   void run();
-  /// Planned end: see PROTOCOL's figures for restarts.
+  /// Starts a graceful shutdown, within the times that PROTOCOL gives for restarts.
   void stop();
-  /// Takes over a new configuration while running: where discovery is, and the settings. What else
-  /// differs needs a restart and is logged. False, with the old one kept, where it can't be used.
+  /// Applies a new configuration at run time: the address of discovery, and the settings. Other
+  /// differences need a restart and are logged. Returns false and keeps the old configuration if
+  /// the new one cannot be used.
   bool reload(const Config& config);
-  /// A reload has come to its end; for the figures.
+  /// Counts a finished reload in the metrics.
   void record_reload(bool accepted) { metrics_.count_reload(accepted); }
-  /// Takes over an operator file's model, at the start or while running: what comes from now on
-  /// goes by it. Requests that are open finish on the route and in the pool that they began with;
-  /// pools that are gone end with their last request.
+  /// Applies an operator file's model at the start or at run time, to requests from now on. Open
+  /// requests keep the route and the pool that they started with; removed pools end with their last
+  /// request.
   void apply_model(core::config::Model model);
-  /// Listens on just those of the file's listeners, besides the configuration's own, which is
-  /// `main` there. Throws ConfigError where one can't be had; then nothing has changed.
+  /// Makes the listeners of the file the only ones besides the configuration's own, which is `main`
+  /// there. Throws ConfigError and changes nothing if one cannot be opened.
   void update_listeners(const core::config::Model& model);
-  /// Notes what happens to each request in `ring`, which outlives the router, or in none; `alert`
-  /// is told where a rule is close to being broken.
+  /// Records what happens to each request in `ring`, which must outlive the router; null turns
+  /// recording off. `alert` is called when a request comes close to violating an invariant.
   void record(core::flight::Ring* ring, std::function<void(const char* what)> alert);
 
-  /// Tells `account`, which outlives the router, what is done and on what; it closes a period each
-  /// `every`.
+  /// Reports attempts, rejections and the view under which they happen to `activity_recorder`,
+  /// which must outlive the router; a period ends every `every`.
   void attach_activity_recorder(core::audit::ActivityRecorder& activity_recorder, Micros every);
-  /// Something that requests are served by has changed, besides the list.
+  /// Tells the activity recorder that something besides the host list has changed by which requests
+  /// are served.
   void record_serving_change() {
     if (activity_recorder_) activity_recorder_->changed(io_.now());
   }
 
-  /// Servers out and back are the fleet's matter from now on; see Operations::use().
+  /// From now on bans are kept for the whole fleet; see Operations.
   void use(Operations::FleetBans& fleet_bans) { operations_.use_fleet_bans(fleet_bans); }
   void set_bans(const std::set<std::string>& banned) { operations_.apply_bans(banned); }
 
   const Config& config() const { return config_; }
-  /// Of the list of servers in use, as discovery named it.
+  /// Version of the host list in use, as discovery named it.
   const std::string& list_version() const { return operations_.hosts().version(); }
   const std::set<std::string>& banned_servers() const { return operations_.hosts().banned_ids(); }
   std::uint16_t port(const std::string& listener = {}) const { return clients_.port(listener); }
   std::uint16_t operator_port() const { return operations_.port(); }
-  /// How old that list may be: since an answer of discovery last showed what it is.
+  /// Age of that list: the time since a response of discovery last confirmed it.
   Micros list_age() const { return discovery_.age(); }
-  /// Made at discovery since the start.
+  /// Calls to discovery since the start.
   std::uint64_t discovery_calls() const { return discovery_.calls(); }
   std::size_t pools() const { return pools_.modules(); }
   std::size_t open_requests() const { return core_.table().size(); }
@@ -114,7 +117,8 @@
   void update_settings(const violetusher::Settings& settings);
   void run_due_timers();
   void arm_timer();
-  /// Tells modules what has happened and carries out what they answer, until nothing is left.
+  /// Delivers queued events to their modules and carries out the actions they return, until the
+  /// queue is empty.
   void deliver_events();
   const violetusher::Actions& deliver(violetusher::Balancer& balancer, ModuleEvent& event);
   void apply_actions(std::uint32_t module, const violetusher::Actions& actions);
@@ -139,9 +143,9 @@
   core::audit::ActivityRecorder* activity_recorder_ = nullptr;
   Micros activity_period_ = 0;
   std::unique_ptr<Alarm> alarm_, stop_alarm_, settings_transition_alarm_, activity_alarm_;
-  violetusher::Request request_;         // the one that a module is told of
-  violetusher::Settings next_settings_;  // from the end of the change-over
-  Micros armed_at_ = 0;                  // 0: not set
+  violetusher::Request request_;         // reused to describe requests to modules
+  violetusher::Settings next_settings_;  // applied at the end of the transition
+  Micros armed_at_ = 0;                  // 0 = not set
   Micros stopping_since_ = 0;
   std::function<void()> on_each_iteration_;
   bool running_ = false, done_ = false;
--- a/src/net/server_connection.cpp
+++ b/src/net/server_connection.cpp
@@ -9,21 +9,21 @@
 
 namespace {
 
-// An answer that has begun comes whole within this of its last bytes or never: a line or a value
-// without its end, one whose length doesn't fit, a server that stops in the middle. It might hurt
-// where a path loses packets and repeats them later than this.
+// An answer that has begun is complete within this time of its last bytes or never: a line or value
+// without its end, a length that does not fit, a server that stops in the middle. It may be too
+// short on a path that loses packets and retransmits them later than this.
 constexpr Micros kPartialAnswerTimeout = 60 * kMillisecond;
-// The same of a long value while it may come: servers write them in pieces, over seconds.
+// The same for a streamed value: servers write it in pieces, over seconds.
 constexpr Micros kStreamedValueTimeout = 4 * kSecond;
-// An abandoned attempt's answer is waited for this long, so that its connection can be used again;
-// after that the machine is taken for silent.
+// The answer to an abandoned attempt is awaited for this long, so that its connection can be
+// reused; after that the machine is considered silent.
 constexpr Micros kAbandonedAnswerTimeout = kSecond;
-// Bytes of a long value that must have come before its length is believed and it is passed on.
+// Bytes of a long value that must have come before its length is trusted and it is streamed on.
 constexpr std::size_t kMinStreamedBytes = 16u << 10;
-// So long a dial is put off that this machine can't begin: five of them in a row, at five servers,
-// are over before the refusal that follows comes late.
+// A dial that this machine cannot start is deferred for this long at most: five in a row, at five
+// servers, are over before the rejection that follows would be late.
 constexpr Micros kMaxDialDeferral = 15 * kMillisecond;
-// What the texts of an entry, and of an answer, keep of their memory for the next one.
+// Capacity that the strings of an entry, and of an answer, keep for the next one.
 constexpr std::size_t kMaxKeptCommandBytes = 1024, kMaxKeptValueBytes = 4096;
 
 void clear_text(std::string& text, std::size_t max_kept_bytes) {
@@ -46,7 +46,7 @@
   }
 }
 
-/// Milliseconds from `now` to `end`, rounded up; 0 where it is over.
+/// Milliseconds from `now` to `end`, rounded up; 0 if `end` has passed.
 std::int64_t left_ms(Micros end, Micros now) {
   return (std::max<Micros>(end - now, 0) + kMillisecond - 1) / kMillisecond;
 }
@@ -114,8 +114,8 @@
   side_.mark_dirty(*this);
 }
 
-/// What has waited for the connection or its turn tells the time that is left now, and is not begun
-/// where it comes too late for that.
+/// Attempts that have waited for the connection or for their turn are sent with the time left now,
+/// and fail if it is too late to start them.
 void ServerConnection::refresh_unsent() {
   Micros now = side_.io_.now();
   for (std::size_t k = sent_ + (partial_ > 0); k < entries_.size();) {
@@ -174,7 +174,7 @@
   }
 }
 
-/// An attempt counts from its first byte.
+/// An attempt counts as sent from its first byte.
 void ServerConnection::record_started() {
   std::size_t at = 0;
   for (std::size_t k = sent_; k < entries_.size() && at < partial_; ++k) {
@@ -201,8 +201,9 @@
   while (!closed_) {
     AnswerReader::Got what = reader_.take(in, answer);
     if (what == AnswerReader::Got::Nothing) break;
-    // Garbage, another request's answer and answers nobody asked for say that the two sides no
-    // longer agree on what belongs to what: nothing more from this connection may be believed.
+    // Garbage, the answer to another request or an unsolicited answer shows that the two sides no
+    // longer agree on which answer belongs to which request: nothing more on this connection can be
+    // trusted.
     bool head = what == AnswerReader::Got::Begin || what == AnswerReader::Got::Answer;
     if (what == AnswerReader::Got::Broken || sent_ == 0 ||
         (head && !matches(entries_.front(), answer))) {
@@ -233,15 +234,15 @@
       return;
     }
   }
-  // So does the beginning of an answer that nobody asked for.
+  // The same holds for the beginning of an unsolicited answer.
   if ((sent_ == 0 && reader_.in_answer()) || (entries_.empty() && draining_))
     side_.close(*this);
   else
     side_.reassign_deferred(pool_);
 }
 
-/// A long value is passed on once more of it has come than answers whose length is a lie bring:
-/// until then it can still be a failed attempt, and tried elsewhere.
+/// A value is streamed on only after more of it has come than accompanies a false length. Until
+/// then it can still be a failed attempt and be retried elsewhere.
 void ServerConnection::on_value_piece(std::string_view piece) {
   QueuedAttempt& e = entries_.front();
   if (!streaming_) {
@@ -251,7 +252,7 @@
     std::string first = std::exchange(unconfirmed_value_, std::string());
     if (e.live) e.live = side_.handler_.on_stream_begin(e.id, e.attempt, head_);
     if (e.live) forward(first);
-    // Neighbours are not taken along: for them it is read and dropped.
+    // Other attempts on the connection are spared: for them the value is read and dropped.
     if (!e.live && abandoned()) side_.close(*this);
   } else if (e.live) {
     forward(piece);
@@ -267,7 +268,7 @@
 
 void ServerConnection::resume() {
   paused_ = false;
-  last_read_at_ = side_.io_.now();  // the time until the next piece counts from here
+  last_read_at_ = side_.io_.now();  // the timeout of the next piece starts here
   watch_->read(true);
 }
 
--- a/src/net/server_connection.hpp
+++ b/src/net/server_connection.hpp
@@ -1,5 +1,5 @@
-// One connection to a cache server: attempts written in their order, answers read in the same. Only
-// ServerSide, which owns all of them, uses it.
+// One connection to a cache server: attempts are written in order, and their answers are read in
+// the same order. Used only by ServerSide, which owns all of them.
 #pragma once
 
 #include "core/connections/idle_budget.hpp"
@@ -8,7 +8,7 @@
 
 namespace violetusher::net {
 
-/// What is kept of one server.
+/// The state that is kept for one server.
 struct ServerPool {
   std::string id;
   std::string dial;
@@ -21,58 +21,62 @@
   std::vector<std::unique_ptr<ServerConnection>> connections;
 };
 
+/// One connection to a cache server and the attempts queued on it.
 class ServerConnection final : Watch::Target {
  public:
+  /// An attempt from its queueing until its answer.
   struct QueuedAttempt {
     RequestId id = 0;
     int attempt = 0;
-    bool live = true;  // somebody waits for it
-    bool timed_out =
-        false;  // nobody would if it could be given up alone: ServerSide::may_abandon()
+    bool live = true;        // somebody waits for its answer
+    bool timed_out = false;  // abandoned once all others are too: see ServerSide::may_abandon()
     bool is_set = false;
-    std::string answer_id;  // that its answer must bear
-    std::string bytes;      // of the command; given up once written
+    std::string answer_id;  // the id that its answer must carry
+    std::string bytes;      // of the command; freed once written
     std::size_t size = 0;   // of those bytes
     std::size_t time_left_begin = 0,
-                time_left_end = 0;  // in them, where the time that is left is told
-    Micros deadline = 0;            // which ends then
-    Micros send_before = 0;         // it may not begin then or later
-    Micros since = 0;               // queued, then abandoned
-    std::uint32_t type = 0;         // its class, as the account numbers it
+                time_left_end = 0;  // position of the time left in `bytes`
+    Micros deadline = 0;            // end of the time left
+    Micros send_before = 0;         // it may not be started at this time or later
+    Micros since = 0;               // when queued, later when abandoned
+    std::uint32_t type = 0;         // its class, as numbered by the activity recorder
     bool started = false;           // its first byte is written
 
+    /// Replaces the time left in `bytes` by what is left at `now`.
     void update_time_left(Micros now);
   };
 
   ServerConnection(ServerSide& side, ServerPool& pool, std::uint32_t id);
 
   void on_ready(unsigned what) override;
-  /// Begins to connect. What this machine is out of something for is tried again by retry_dial();
-  /// kBroken where it can't be done.
+  /// Starts to connect. If this machine is out of a resource, retry_dial() tries again;
+  /// kPermanentError if connecting is impossible.
   CallResult dial();
   void retry_dial();
+  /// Writes the queued attempts.
   void flush();
-  /// Behind all others. Nothing of it is written before flush().
+  /// Queues an attempt behind all others. Nothing of it is written before flush().
   void queue(RequestId id, int attempt, const Command& command, Micros deadline,
              Micros send_before);
-  /// The same of one that has waited on another connection.
+  /// Queues an attempt that has waited on another connection.
   void take_over(QueuedAttempt&& entry);
-  /// Reads on after a pause.
+  /// Reads again after a pause.
   void resume();
-  /// Ends attempts at the back of which nothing is written and that were queued before `since`.
+  /// Ends the attempts at the back that are entirely unwritten and were queued before `since`.
   void drop_unsent(Micros since);
 
+  /// Established, with no attempt on it.
   bool idle() const { return !connecting_ && entries_.empty(); }
-  /// Something of the entry at this place is written.
+  /// Whether a part of the entry at this index is written.
   bool started(std::size_t index) const {
     return index < sent_ || (index == sent_ && partial_ > 0);
   }
-  /// Nobody waits for anything on it.
+  /// No attempt on it is waited for.
   bool abandoned() const;
-  /// True unless it is certain that the peer has neither ended or broken the connection nor said
-  /// something unasked.
+  /// False only if it is certain that the peer has not closed or reset the connection and has sent
+  /// nothing unsolicited.
   bool may_have_ended() const { return side_.io_.may_have_input(socket_.number()); }
-  /// True when it is to be closed for what has not come in time.
+  /// Whether it is to be closed because an answer has not come in time.
   bool timed_out(Micros now) const;
 
   // Read and written by ServerSide.
@@ -83,19 +87,19 @@
   std::unique_ptr<Watch> watch_;
   AnswerReader reader_;
   RecycledQueue<QueuedAttempt> entries_;  // in the order of their answers
-  std::size_t sent_ = 0;                  // of them, written whole
-  std::size_t partial_ = 0;               // bytes of the next one that are written
+  std::size_t sent_ = 0;                  // entries that are written completely
+  std::size_t partial_ = 0;               // bytes of the next entry that are written
   bool connecting_ = true;
-  bool draining_ = false;  // nothing new; closes when its answers have come
+  bool draining_ = false;  // takes no new attempts; closes after its last answer
   bool dirty_ = false;
   bool closed_ = false;
-  bool has_answered_ = false;  // has answered before
+  bool has_answered_ = false;  // has received an answer before
   bool closed_by_peer_ = false;
-  bool streaming_ = false;  // a long value is passed on, or dropped, as it comes
-  bool paused_ = false;     // it is not read until its client has read what came
+  bool streaming_ = false;  // a streamed value is being passed on or dropped
+  bool paused_ = false;     // not read until the client has read what came
   Micros last_active_at_;
-  Micros dial_until_;   // not up by then, it never will be
-  Micros defer_until_;  // this machine could not begin to dial by then: nor is it tried again
+  Micros dial_until_;   // the dial fails if it takes longer
+  Micros defer_until_;  // a dial that this machine cannot start is retried until then
 
  private:
   void refresh_unsent();
@@ -105,9 +109,9 @@
   void on_value_piece(std::string_view piece);
   void forward(std::string_view piece);
 
-  Answer head_;                    // of a long value
-  std::string unconfirmed_value_;  // of it, before it is believed
-  Micros last_read_at_ = 0;        // bytes came last
+  Answer head_;                    // of a streamed value
+  std::string unconfirmed_value_;  // its first bytes, before it is passed on
+  Micros last_read_at_ = 0;        // when the last bytes came
 };
 
 }  // namespace violetusher::net
--- a/src/net/server_side.cpp
+++ b/src/net/server_side.cpp
@@ -11,15 +11,14 @@
 
 namespace {
 
-// What a server does right behind an answer, be it a close, a second copy or noise, shows within
-// this. Until then the connection is used for another request only where there is no other idle
-// one.
+// What a server sends right behind an answer, be it a close, a second answer or garbage, arrives
+// within this time. Until then the connection is reused only if no other one is idle.
 constexpr Micros kReuseDelay = 3 * kMillisecond;
-// No dial to a server that just refused one while it has connections that work.
+// No dial to a server that has just refused one while it has working connections.
 constexpr Micros kDialBackoff = kSecond / 5;
 constexpr Micros kSweepInterval = kSecond / 50;
-// A dial that has not ended so long after its limit is not watched by the system, which was out of
-// something when it was asked to.
+// A dial that has not ended this long after its timeout is not being watched: the system was out of
+// a resource when it was asked to.
 constexpr Micros kUnwatchedDialTimeout = 2 * kSweepInterval;
 
 }  // namespace
@@ -54,7 +53,7 @@
       at->second->id = host.server.id;
     }
     ServerPool& pool = *at->second;
-    // Another process, or another place: what is open leads to the old one.
+    // A new process or a new address: open connections lead to the old one.
     bool moved = !removed && (pool.dial != host.dial || pool.started_at != host.server.up_since);
     if (moved) {
       pool.dial = host.dial;
@@ -66,8 +65,8 @@
     pool.listed = !removed;
     pool.available = host.server.health == violetusher::Health::Ready;
   }
-  // A send counts from its first byte: what has none yet does not go to a server that is told to
-  // leave, or to the place that it left, however long it has waited for a connection or its turn.
+  // An attempt counts as sent from its first byte. One without it is not sent to a server that is
+  // draining, or to the address that it has left, however long the attempt has waited.
   Micros any_time = io_.now() + 1;
   for (auto& [id, pool] : pools_) {
     for (auto& c : pool->connections) {
@@ -97,9 +96,9 @@
   return pool.connections.back().get();
 }
 
-/// The connection for one more attempt: of the idle ones that have settled the last used, else a
-/// new one, else the one with the least before it. Answers come in order, so waiting behind another
-/// costs its whole service time; a dial costs a round trip or two.
+/// The connection for one more attempt: the last used of the idle ones that have settled, else a
+/// new one, else the one with the fewest attempts before it. Answers come in order, so waiting
+/// behind another attempt costs its whole service time; a dial costs one or two round trips.
 ServerConnection* ServerSide::pick_connection(ServerPool& pool) {
   Micros settled = io_.now() - kReuseDelay;
   auto better = [&](const ServerConnection& a, const ServerConnection& b) {
@@ -112,8 +111,8 @@
     for (auto& c : pool.connections)
       if (c->idle() && !c->draining_ && (!idle || better(*c, *idle))) idle = c.get();
     if (!idle) break;
-    // Looked at each time: what came behind the last answer, be it an end or bytes that nobody
-    // asked for, would be taken for the answer to this one.
+    // Checked on each reuse: a close or unsolicited bytes behind the last answer would be taken for
+    // the answer to this attempt.
     if (!idle->may_have_ended()) return idle;
     close(*idle);
   }
@@ -122,7 +121,7 @@
   bool may_dial = io_.now() >= pool.no_dial_until || pool.connections.empty();
   ServerConnection* connection = may_dial && make_room(pool) ? dial(pool) : nullptr;
   if (connection && connection->socket_) return connection;
-  // A dial that this machine has put off takes what nothing else can.
+  // A dial that this machine has deferred takes an attempt that no other connection can.
   ServerConnection* busy = least_loaded(pool, Connecting::kInclude);
   return busy ? busy : connection;
 }
@@ -141,15 +140,15 @@
 
 bool ServerSide::make_room(ServerPool& pool) {
   if (pool.connections.size() >= limits_.table.max_open) {
-    // One that only waits for answers nobody wants makes room.
+    // Close a connection that only waits for answers of abandoned attempts.
     auto at = std::find_if(pool.connections.begin(), pool.connections.end(),
                            [](const auto& c) { return c->abandoned(); });
     if (at == pool.connections.end()) return false;
     close(**at);
   }
   if (total_ < limits_.connections) return true;
-  // Else the one that has stood unused for longest, whichever server it leads to: in a large fleet
-  // the servers of rare keys would keep those of popular ones from having any.
+  // Otherwise close the connection that has been unused longest, to whichever server: in a large
+  // fleet the servers of rare keys would keep those of popular keys from having any.
   ServerConnection* least_recent = nullptr;
   for (auto& [id, other] : pools_)
     for (auto& c : other->connections)
@@ -163,7 +162,7 @@
 void ServerSide::send(const std::string& server, RequestId id, int attempt, const Command& command,
                       Micros deadline, Micros send_before) {
   auto at = pools_.find(server);
-  // A decision may be as old as the list that came behind it in the same turn.
+  // A decision may predate a list that was delivered in the same iteration.
   bool server_available = at != pools_.end() && at->second->available;
   ServerConnection* c = server_available ? pick_connection(*at->second) : nullptr;
   if (!c) {
@@ -211,19 +210,19 @@
   e.live = false;
   e.since = io_.now();
   if (index == c->sent_) {
-    // Partly written: finishing it would send the request after its end.
+    // Partly written: writing the rest would send the request after its end.
     close(*c);
     return Status::NotSent;
   }
-  // Only an end of the connection tells the server that nobody waits any more, so that it may drop
-  // what it has not begun. Where many clients leave early, what they left behind filled the
-  // servers. It costs a new connection, some milliseconds of the server's work, for nothing where
-  // servers go on with waiting work. Neighbours are not taken along: then the answer is read and
-  // dropped when it comes.
+  // Only closing the connection tells the server that nobody waits any more, so that it may drop
+  // what it has not started. With many clients that leave early, abandoned attempts filled the
+  // servers. The price is a new connection, some milliseconds of the server's work, which is wasted
+  // where servers go on with queued work. Other attempts on the connection are spared: then the
+  // answer is read and dropped when it comes.
   if (c->abandoned())
     close(*c);
   else if (c->paused_)
-    c->resume();  // read and dropped, for those behind it
+    c->resume();  // read and dropped, for the attempts behind it
   return Status::Cancelled;
 }
 
@@ -267,8 +266,9 @@
   --total_;
 }
 
-/// A full connection table refuses new connections while those that are open work: what waited for
-/// the dial goes behind others then. Where there are none, the server can't be reached.
+/// A server whose connection table is full refuses new connections while open ones work: the
+/// attempts that waited for the dial are queued on those. If there are none, the server is
+/// unreachable.
 void ServerSide::on_dial_failed(ServerConnection& c, CallResult why) {
   bool refused = why != CallResult::kTransientError;
   if (refused) {
@@ -291,7 +291,7 @@
   }
 }
 
-/// Closes the idle connections that this router may no longer hold open, the least recently used
+/// Closes the idle connections that exceed this router's idle budget, the least recently used
 /// first.
 void ServerSide::trim_idle(ServerPool& pool) {
   auto& all = pool.connections;
@@ -340,13 +340,13 @@
         if (c.draining_ || now - c.last_active_at_ > limits_.table.max_idle_time) close(c);
         continue;
       }
-      // What a full socket buffer has kept back this long was never sent, and must not go out when
-      // the server may have begun to drain since.
+      // What a full socket buffer has held back this long was never sent, and must not be sent to a
+      // server that may have begun to drain since.
       c.drop_unsent(now - limits_.dial_timeout);
       if (c.timed_out(now)) close(c);
     }
-    // A server that has left, whether a whole list or a change said so, leaves nothing behind once
-    // its last attempt has ended.
+    // The state of a server that was removed, by a whole list or by a change, is freed once its
+    // last attempt has ended.
     it = !pool.listed && pool.connections.empty() ? pools_.erase(it) : std::next(it);
   }
   dials_deferred_ = deferred;
--- a/src/net/server_side.hpp
+++ b/src/net/server_side.hpp
@@ -1,4 +1,5 @@
-// The connections to cache servers: dial, pool, pipeline, idle close, and each attempt's fate.
+// The side of the router that faces cache servers: dials, connection pools, pipelining, idle
+// closes, and the outcome of each attempt.
 #pragma once
 
 #include <memory>
@@ -27,29 +28,31 @@
 class ServerConnection;
 struct ServerPool;
 
+/// Owns all connections to cache servers and the attempts on them.
 class ServerSide {
  public:
-  /// Told of what becomes of attempts. Calls come from within the event loop, and from send() and
-  /// cancel(); none may call back into ServerSide.
+  /// Receives the events of attempts. Calls come from within the event loop and from send() and
+  /// cancel(); they must not call back into ServerSide.
   class Handler {
    public:
     virtual ~Handler() = default;
-    /// The attempt has ended; `answer` is what came, where `status` tells of one. Called once for
-    /// each attempt, unless it was cancelled.
+    /// The attempt has ended; `answer` is what was received, if `status` implies an answer. Called
+    /// once for each attempt that is not cancelled.
     virtual void on_attempt_end(RequestId id, int attempt, Status status, Answer&& answer) = 0;
-    /// The attempt's first byte has been written. `wanted`: its server takes anything new;
-    /// `sent_deadline`: what the server was told of the time that is left ends then.
+    /// The first byte of the attempt has been written. `server_available`: its server is listed and
+    /// ready; `sent_deadline`: the end of the time left that the server was sent.
     virtual void on_attempt_written(RequestId id, int attempt, bool server_available,
                                     Micros sent_deadline) = 0;
-    /// The head of a long value has come. False where nobody wants the rest.
+    /// The head of a streamed value has come. Returns false if nobody waits for the rest.
     virtual bool on_stream_begin(RequestId id, int attempt, const Answer& head) = 0;
-    /// More of the value. False where no more is to come until resume().
+    /// More of the value. Returns false if no more is to come until resume().
     virtual bool on_stream_data(RequestId id, int attempt, std::string_view piece) = 0;
   };
+  /// Limits on connections and their use.
   struct Limits {
     std::size_t connections = 300;                                          ///< to all servers
     core::ConnectionShare table = core::connection_share(1, 15 * kSecond);  ///< of each server
-    int streams = 32;  ///< attempts on one connection
+    int streams = 32;  ///< attempts pipelined on one connection
     Micros dial_timeout = 75 * kMillisecond;
   };
 
@@ -57,62 +60,65 @@
              const std::vector<violetusher::ReportField>* fields, core::flight::Recorder& recorder);
   ~ServerSide();
 
-  /// Takes over what a list says of where servers are and whether they want anything new.
+  /// Applies a host list: the addresses of servers, and which of them accept new attempts.
   void update_hosts(const HostList& list);
 
-  /// Sends one attempt, whose server is told how long is left until `deadline` when the first of it
-  /// is written; from `until` on nothing of it is begun any more. The handler may be told of its
-  /// end before this returns.
+  /// Sends one attempt. Its server is sent the time left until `deadline`, as of when the first
+  /// byte is written; an attempt that is not started before `send_before` fails. The handler may be
+  /// notified of its end before this returns.
   void send(const std::string& server, RequestId id, int attempt, const Command& command,
             Micros deadline, Micros send_before = violetusher::Send::kAnyTime);
-  /// Takes an attempt back of which nothing is written yet; false where there is none.
+  /// Removes an attempt of which nothing is written yet; returns false if there is none.
   bool withdraw(const std::string& server, RequestId id, int attempt);
-  /// Whether cancel() would end the attempt's connection, which alone tells the server that it is
-  /// given up. Where it is not, as others on that connection still wait, the attempt goes on; it is
-  /// given up with the last of them, and told as Timeout.
+  /// Whether cancel() would close the attempt's connection, which is the only way to tell the
+  /// server that the attempt is abandoned. If it would not, as others on that connection still
+  /// wait, the attempt goes on; it is abandoned with the last of them and reported as Timeout.
   bool may_abandon(const std::string& server, RequestId id, int attempt);
-  /// Gives an attempt up: Moot where nothing of it was sent whole, Cancelled where it may have run.
+  /// Abandons an attempt: NotSent if no whole attempt was sent, Cancelled if it may have run.
   Status cancel(const std::string& server, RequestId id, int attempt);
-  /// The long value of the attempt may go on coming.
+  /// Resumes the streamed value of the attempt.
   void resume(const std::string& server, RequestId id, int attempt);
+  /// Writes the queued attempts. Call once per iteration of the loop.
   void flush();
+  /// Whether there is something to flush.
   bool dirty() const { return !dirty_.empty(); }
+  /// Open connections to all servers.
   std::size_t connections() const { return total_; }
-  /// Attempts written whole since the start.
+  /// Attempts written completely since the start.
   std::uint64_t written() const { return written_; }
-  /// What new settings say of connections; how many there may be to all servers stays.
+  /// Applies the connection limits of new settings; the total for all servers stays.
   void update_limits(const Limits& limits) {
     std::size_t connections = limits_.connections;
     limits_ = limits;
     limits_.connections = connections;
   }
-  /// Tells `account`, which outlives this, what is sent and who gets anything new.
+  /// Reports sent attempts and the available servers to `activity_recorder`, which must outlive
+  /// this object.
   void attach_activity_recorder(core::audit::ActivityRecorder& activity_recorder);
-  /// Servers of which anything is kept.
+  /// Servers for which any state is kept.
   std::size_t pools() const { return pools_.size(); }
 
  private:
   friend class ServerConnection;
-  /// The connection that the attempt is on, and its place there; none where nobody waits for it.
+  /// The connection of a live attempt and its index there; null if there is none.
   std::pair<ServerConnection*, std::size_t> find(const std::string& server, RequestId id,
                                                  int attempt);
   void sweep();
   void trim_idle(ServerPool& pool);
   ServerConnection* pick_connection(ServerPool& pool);
   enum class Connecting { kInclude, kExclude };
-  /// The connection of the pool to write one more attempt behind others on; none where there is
-  /// no good one. `dialling`: whether one that is not up yet may be it.
+  /// The connection of the pool on which to queue one more attempt behind others; null if none is
+  /// suitable. `connecting`: whether connections that are not established yet count.
   ServerConnection* least_loaded(ServerPool& pool, Connecting connecting) const;
-  /// Makes room for one more connection to `pool`'s server; false where all are in use.
+  /// Makes room for one more connection to `pool`'s server; returns false if all are in use.
   bool make_room(ServerPool& pool);
   ServerConnection* dial(ServerPool& pool);
-  /// Moves what waits for dials that are put off to a connection of the pool that has room.
+  /// Moves attempts that wait for deferred dials to a connection of the pool that has room.
   void reassign_deferred(ServerPool& pool);
   void mark_dirty(ServerConnection& connection);
-  /// Ends the connection; every attempt on it gets its outcome.
+  /// Closes the connection; every attempt on it gets its outcome.
   void close(ServerConnection& connection);
-  /// `why`: kTransientError where this machine could not dial, which is not held against the
-  /// server.
+  /// `why` is kTransientError if this machine could not dial, which is not held against the server.
   void on_dial_failed(ServerConnection& connection, CallResult why);
 
   Io& io_;
@@ -129,7 +135,7 @@
   std::uint32_t next_connection_id_ = 1;
   std::vector<std::unique_ptr<ServerConnection>> closed_;
   std::vector<ServerConnection*> dirty_;
-  static constexpr std::size_t kReadBufferBytes = 16u << 10;  // read at once from one connection
+  static constexpr std::size_t kReadBufferBytes = 16u << 10;  // bytes per read
   std::unique_ptr<char[]> read_buffer_;
   Answer answer_;  // the one being read
 };
--- a/src/net/timers.hpp
+++ b/src/net/timers.hpp
@@ -1,8 +1,8 @@
-// The router's timers: set, cancelled at once, and rung in the order of their times, those of one
-// time in the order in which they were set. One alarm of the Io stands behind all of them.
+// The router's timers. They can be cancelled at once and fire in the order of their times, those of
+// the same time in the order in which they were set. One alarm of the Io drives all of them.
 //
-// An indexed heap with four children a node. bench/timers.cpp holds it against the lazy heap that
-// was here and against a hashed wheel; docs/design/request-core.md has the figures.
+// An indexed heap with four children per node. bench/timers.cpp compares it with its predecessor, a
+// lazy heap, and with a hashed wheel; docs/design/request-core.md has the figures.
 #pragma once
 
 #include <cstdint>
@@ -13,30 +13,32 @@
 
 namespace violetusher::net {
 
+/// A priority queue of timers with cheap cancellation.
 class Timers {
  public:
-  /// What a timer is for.
+  /// What is done when a timer fires.
   struct Task {
     enum class Kind : std::uint8_t {
-      kModule,          ///< the decision module's
-      kAttemptTimeout,  ///< an attempt's patience is over
-      kDeadline,        ///< the client's time is over
-      kFinalAnswer,     ///< whatever happened, the client gets its answer
+      kModule,          ///< calls the decision module
+      kAttemptTimeout,  ///< ends an attempt at its timeout
+      kDeadline,        ///< ends a request at its deadline
+      kFinalAnswer,     ///< answers a request that its module has left open
     };
     Kind kind = Kind::kModule;
     std::uint32_t module = 0;  ///< of kModule
     int attempt = 0;           ///< of kAttemptTimeout
-    std::uint64_t token = 0;   ///< the module's, or a request's number
+    std::uint64_t token = 0;   ///< the module's token, or a request's number
   };
-  /// Names a timer that was set; 0 names none.
+  /// Identifies a timer that was set; 0 is none.
   using Handle = std::uint64_t;
 
+  /// Sets a timer for the time `at`.
   Handle set(Micros at, const Task& task);
-  /// Takes the timer out and sets `handle` to 0. One that has rung, or none, is let be.
+  /// Removes the timer and sets `handle` to 0. Does nothing if it has fired, or for 0.
   void cancel(Handle& handle);
-  /// When the first one is due.
+  /// The time of the first timer.
   std::optional<Micros> next() const;
-  /// Takes out the first one that is due at `now`; false where there is none.
+  /// Removes the first timer that is due at `now`; returns false if there is none.
   bool pop_due(Micros now, Task& task);
   std::size_t size() const { return heap_.size(); }
 
@@ -49,7 +51,7 @@
   };
   struct Node {
     Task task;
-    std::uint32_t position = 0;    // in heap_, where it is set
+    std::uint32_t position = 0;    // in heap_, while set
     std::uint32_t generation = 0;  // odd while set
   };
   void store(std::size_t position, const Item& item);
