--- a/src/net/client_side.cpp
+++ b/src/net/client_side.cpp
@@ -59,7 +59,7 @@
     if (address) listener->socket = io_.listen(*address, error);
     if (!listener->socket) {
       error = "listener '" + requested.first + "', " + requested.second + ": " +
-              (address ? error : std::string("no address"));
+              (address ? error : std::string("invalid address, expected IP:PORT"));
       return false;
     }
     added.push_back(std::move(listener));
--- a/src/net/router.cpp
+++ b/src/net/router.cpp
@@ -96,7 +96,7 @@
   for (const auto& c : config_.settings.classes) metrics_.add_class(c.name);
   if (!config.initial_hosts.fault.empty())
     log.write(io.now(), Log::Level::kWarn, "known-bad-list",
-              "known: " + config.initial_hosts.fault);
+              "initial host list (known): " + config.initial_hosts.fault);
   invariants_.on_violation([this](const core::Violation& v) { log_violation(v); });
   servers_.update_hosts(config_.initial_hosts);
   discovery_.start();
@@ -106,7 +106,7 @@
 bool Router::listen(std::string& error) {
   auto address = parse_address(config_.listen, true);
   if (!address) {
-    error = "no address: '" + config_.listen + "'";
+    error = "invalid listen address '" + config_.listen + "', expected IP:PORT";
     return false;
   }
   invariants_.on_start(operations_.bans_known());
@@ -206,7 +206,8 @@
   std::string_view address = config.discovery;
   if (!parse_address(config.discovery)) {
     log_.write(now, Log::Level::kError, "reload-bad-discovery",
-               "reload: discovery: no address: '" + config.discovery + "'; the old one is kept",
+               "reload: invalid discovery address '" + config.discovery +
+                   "', expected IP:PORT; the old one is kept",
                {{"address", address}});
     return false;
   }
@@ -250,8 +251,8 @@
   std::string name = core::name_of(v.invariant), request = std::to_string(v.request);
   std::string list = list_version();
   log_.write(io_.now(), Log::Level::kError, "invariant-broken",
-             "invariant " + name + " broken: request " + request + ", " + v.connection + ": " +
-                 v.what + "; list " + list,
+             "invariant " + name + " violated: request " + request + ", " + v.connection + ": " +
+                 v.what + "; host list " + list,
              {{"invariant", std::string_view(name)},
               {"request", std::string_view(request)},
               {"connection", std::string_view(v.connection)},
