--- a/tests/net/allocation_test.cpp
+++ b/tests/net/allocation_test.cpp
@@ -1,5 +1,5 @@
-// What a served read takes from the heap once the router is warm: nothing. malloc itself is counted
-// (operator new comes to it), in the router's thread alone, so this is a program of its own.
+// A served read must not allocate once the router is warm. malloc itself is counted (operator new
+// calls it) in the router's thread alone, so this is a program of its own.
 #include <gtest/gtest.h>
 
 #include <cstdlib>
@@ -7,7 +7,7 @@
 #include "net_support.hpp"
 
 #if defined(__SANITIZE_ADDRESS__)
-constexpr bool kCounts = false;  // the sanitizer's own malloc is in place
+constexpr bool kCounts = false;  // the sanitizer replaces malloc
 #else
 constexpr bool kCounts = true;
 
@@ -38,7 +38,7 @@
 namespace violetusher::net::test {
 namespace {
 
-/// Client ids of more bytes than a string holds in place, and reports, as platforms have them.
+/// Client ids that exceed the small string buffer, and reports, as platforms have them.
 std::string command(int k) {
   return read_command("request-" + std::to_string(100'000'000'000 + k),
                       "barcode:4006381333931-" + std::to_string(k % 8), "1500,h=50");
@@ -48,7 +48,7 @@
   return "VA 40 O" + id_of(line) + " h1 Lload_share=0.25\r\n" + std::string(40, 'v') + "\r\n";
 }
 
-/// Reads `count` times, `depth` outstanding at a time. How many were served.
+/// Sends `count` reads, `depth` outstanding at a time. Returns how many were served.
 int reads(Client& client, int from, int count, int depth) {
   int served = 0;
   for (int k = 0; k < count; k += depth) {
@@ -63,7 +63,7 @@
   return served;
 }
 
-/// A file whose limits and budgets all have room.
+/// An operator file whose limits and budgets are never reached.
 core::config::Model unlimited_model() {
   auto compiled = core::config::compile(
       "f",
@@ -86,8 +86,7 @@
   LineServer a(reporting_cache), b(reporting_cache);
   RouterOptions options;
   options.dials = {a.address(), b.address()};
-  options.list_on_demand =
-      true;  // an agent that can't be reached is called some times a second beside
+  options.list_on_demand = true;  // else the unreachable agent is called several times a second
   RunningRouter router(options);
   Client client(router.port());
   constexpr int kWarmUpReads = 800, kCountedReads = 2000;
@@ -106,7 +105,7 @@
     found = allocations;
   });
 #endif
-  // What goes on beside the requests (discovery that is asked again, post() itself) takes a little.
+  // Work beside the requests (polling discovery, post() itself) allocates a little.
   EXPECT_LT(found, kCountedReads / 50) << "of " << kCountedReads << " reads";
 }
 
--- a/tests/net/client_side_test.cpp
+++ b/tests/net/client_side_test.cpp
@@ -1,11 +1,11 @@
-// Clients that misbehave, against the real router.
+// Misbehaving clients and shutdown, against a real router on loopback sockets.
 #include "net_support.hpp"
 
 namespace violetusher::net::test {
 namespace {
 
-/// What can't be used gets an error and a close, and no cache server ever sees it.
-TEST(BadClients, AreTurnedAwayBeforeACacheServerSeesThem) {
+/// Guards against invalid commands that reach a cache server: they get an error and a close.
+TEST(BadClients, InvalidCommandsNeverReachACacheServer) {
   LineServer cache(good_cache);
   RunningRouter router({.dials = {cache.address()}});
   const std::string long_line(protocol::kMaxLineBytes + 10, 'x');
@@ -49,7 +49,7 @@
   for (const std::string& line : cache.lines()) EXPECT_NE(line.find(" Oa1 "), line.npos) << line;
 }
 
-/// The id of a request that is open elsewhere would make two answers look alike.
+/// Guards against two open requests with one id, whose responses would be indistinguishable.
 TEST(BadClients, MayNotUseTheIdOfAnOpenRequest) {
   std::atomic<bool> asked{false};
   LineServer cache([&](const std::string& line, int) {
@@ -63,16 +63,16 @@
   second.send(read_command("slow"));
   EXPECT_EQ(second.read_all(), "CLIENT_ERROR bad command\r\n");
   first.send("");
-  EXPECT_EQ(first.line().rfind("SERVER_ERROR", 0), 0u);  // its own time is up, nothing else
+  EXPECT_EQ(first.line().rfind("SERVER_ERROR", 0), 0u);  // only its deadline has passed
   Client later(router.port());                           // and the id is free again
   ASSERT_TRUE(router.eventually([](Router& r) { return r.open_requests() == 0; }));
   later.send(read_command("slow", "k1", "50"));
   EXPECT_EQ(later.line().rfind("SERVER_ERROR", 0), 0u);
 }
 
-/// Silent clients and half commands are closed, however many there are, and one that asked once
-/// and stays is closed too.
-TEST(BadClients, DoNotKeepTheirConnections) {
+/// Guards against connections that stay open: silent clients, half commands, and clients that ask
+/// once and never close are disconnected, however many there are.
+TEST(BadClients, SilentAndIdleOnesAreDisconnected) {
   LineServer cache(good_cache);
   RunningRouter router({.dials = {cache.address()}});
   Client silent(router.port()), half(router.port()), value(router.port()), once(router.port());
@@ -88,7 +88,7 @@
   EXPECT_TRUE(router.eventually([](Router& r) { return r.client_connections() == 0; }));
 }
 
-TEST(BadClients, ACrowdDoesNotKeepOthersOut) {
+TEST(BadClients, ManyHalfCommandsDoNotKeepOthersOut) {
   LineServer cache(good_cache);
   RunningRouter router({.dials = {cache.address()}, .sockets = 96});
   std::vector<std::unique_ptr<Client>> crowd;
@@ -103,7 +103,8 @@
   }
 }
 
-/// A client that sends without end is closed in bounded memory, while others are served.
+/// Guards against unbounded memory: a client that sends without end is closed while others are
+/// served.
 TEST(BadClients, SendingAtFullSpeedIsCutOff) {
   LineServer cache(good_cache);
   RunningRouter router({.dials = {cache.address()}});
@@ -122,7 +123,8 @@
   EXPECT_TRUE(flood.ended());
 }
 
-/// One that connected just before a router stops, and whose command comes just after, is served.
+/// Guards against a lost command of a client that connected just before the shutdown and sends just
+/// after.
 TEST(Stopping, LeavesANewConnectionTimeForItsFirstCommand) {
   LineServer cache(good_cache);
   EventBasePtr base(event_base_new());
@@ -133,7 +135,7 @@
   RouterOptions options{.dials = {cache.address()}};
   options.accept_fd = ::dup(listener.number());
   RunningRouter router(options);
-  auto turns = [&] {  // whatever was ready before has been seen to
+  auto turns = [&] {  // until all earlier events are handled
     for (int k = 0; k < 3; ++k) router.post([](Router&) {});
   };
   Client known(io.port(listener.number())), fresh(io.port(listener.number()));
@@ -143,7 +145,7 @@
   router.post([](Router& r) { r.stop(); });
   turns();
   known.line();
-  EXPECT_EQ(known.read_all(), "");  // it closes at once where it has served
+  EXPECT_EQ(known.read_all(), "");  // closes at once after a served request
   EXPECT_TRUE(known.ended());
   fresh.send(read_command("b"));
   EXPECT_EQ(fresh.line(), "VA 5 Ob");
--- a/tests/net/held_io.hpp
+++ b/tests/net/held_io.hpp
@@ -1,5 +1,5 @@
-// The system with one call held back: what has happened on a socket is told to the router only when
-// the test says so, so that something else comes in between.
+// The system's Io with delayed socket events: the router sees them only when the test releases
+// them, so that something else can happen in between.
 #pragma once
 
 #include <map>
@@ -12,14 +12,14 @@
 
 namespace violetusher::net::test {
 
-/// Used in the router's thread alone (RunningRouter::post). Forwards everything but what it holds.
+/// Only for the router's thread (RunningRouter::post). Forwards everything except the held events.
 class HeldIo final : public Io {
  public:
   explicit HeldIo(SystemIo& io) : io_(io) {}
 
-  /// While held, a connection to a server that has come up is not told to be up.
+  /// While held, an established connection to a server is not reported as established.
   void hold_dials(bool on) { hold(dials_held_, on); }
-  /// While held, nobody is told that a client has sent something; who looks finds it.
+  /// While held, input from a client is not reported; a read finds it.
   void hold_clients(bool on) { hold(clients_held_, on); }
 
   Micros now() const override { return io_.now(); }
@@ -76,7 +76,7 @@
       inner_->read(on);
     }
     void write_once(Micros limit) override { inner_->write_once(limit); }
-    /// What was kept back is told.
+    /// Delivers the events that were held back.
     void release() {
       if (reads_) inner_->read(true);
       if (unsigned held_events = std::exchange(held_events_, 0)) target_.on_ready(held_events);
@@ -89,8 +89,7 @@
         target_.on_ready(what);
         return;
       }
-      held_events_ |=
-          what_ == kWritable ? what : 0;  // input is still there when it is looked for again
+      held_events_ |= what_ == kWritable ? what : 0;  // input stays readable
       if (what_ == kReadable) inner_->read(false);
     }
 
--- a/tests/net/long_value_test.cpp
+++ b/tests/net/long_value_test.cpp
@@ -1,5 +1,5 @@
-// Values too long to hold, passed on as they come: whole, bounded, and cut off so that a client can
-// tell.
+// Values that are too long to buffer and are streamed: complete, in bounded memory, and cut off in
+// a way that the client can detect.
 #include <random>
 
 #include "net_support.hpp"
@@ -13,7 +13,7 @@
 std::string long_value(std::size_t length = kLength) {
   std::string value(length, ' ');
   std::mt19937 random(3);
-  for (char& c : value) c = static_cast<char>(random());  // line ends among them
+  for (char& c : value) c = static_cast<char>(random());  // includes line ends
   return value;
 }
 
@@ -25,7 +25,7 @@
   return head_of(id_of(line), length) + " h1 Lload_share=0.5\r\n" + long_value(length) + "\r\n";
 }
 
-TEST(LongValue, ReaderGivesTheSameBytesHoweverTheyCome) {
+TEST(LongValue, ReaderGivesTheSameBytesForAnySplit) {
   std::vector<violetusher::ReportField> fields{violetusher::ReportField::Utilization};
   std::string value = long_value(200'000);
   std::string all =
@@ -57,7 +57,7 @@
   }
 }
 
-TEST(LongValue, ReaderRefusesWhatIsTooLongOrHasNoEnd) {
+TEST(LongValue, ReaderRejectsOverlongOrUnterminatedValues) {
   std::vector<violetusher::ReportField> fields;
   protocol::AnswerReader too_long(&fields);
   protocol::Answer answer;
@@ -72,7 +72,7 @@
   EXPECT_EQ(no_end.take(in, answer), protocol::AnswerReader::Got::Broken);
 }
 
-/// Values asked for at once on one connection: more than the kernel's buffers take in.
+/// Values requested at once on one connection: more than the kernel's buffers hold.
 constexpr int kValuesPerClient = 6;
 
 std::string name(int client, int k) { return std::to_string(client) + "-" + std::to_string(k); }
@@ -90,7 +90,7 @@
     for (int k = 1; k < kValuesPerClient; ++k)
       clients[c]->send(read_command(name(c, k), "k", "1500"));
   ASSERT_TRUE(router.eventually([](Router& r) { return r.client_buffered() > 0; }));
-  // All deadlines pass while the values come; none that has begun is cut off for that.
+  // All deadlines pass while the values are streamed; none that has begun may be cut off for that.
   std::this_thread::sleep_for(std::chrono::milliseconds(1600));
   router.post([](Router& r) { EXPECT_LE(r.client_buffered(), 1u << 20); });
   std::string value = long_value();
@@ -98,7 +98,7 @@
   auto read_all = [&](int c) {
     for (int k = 0; k < kValuesPerClient; ++k) {
       std::string line = k == 0 ? head_of(name(c, 0)) : clients[c]->line();
-      if (line == "SERVER_ERROR busy") continue;  // stood behind others until its time was over
+      if (line == "SERVER_ERROR busy") continue;  // waited behind others until its deadline
       ASSERT_EQ(line, head_of(name(c, k)));
       ++whole;
       ASSERT_TRUE(clients[c]->bytes(kLength) == value);
@@ -109,11 +109,11 @@
   for (int c = 0; c < 3; ++c) readers.emplace_back(read_all, c);
   for (auto& reader : readers) reader.join();
   router.post([](Router& r) { EXPECT_LE(r.client_buffered(), 1u << 20); });
-  EXPECT_GE(whole, 3);  // the first of each at least
+  EXPECT_GE(whole, 3);  // at least the first of each client
   EXPECT_TRUE(router.eventually([](Router& r) { return r.open_requests() == 0; }));
 }
 
-TEST(LongValue, OneThatReadsNothingHoldsUpNobodyAndIsGivenUp) {
+TEST(LongValue, AStalledReaderBlocksNobodyAndIsDisconnected) {
   LineServer cache([](const std::string& line, int) {
     return id_of(line)[0] == 'l' ? long_answer(line) : value_for(line);
   });
@@ -134,7 +134,7 @@
   }));
 }
 
-TEST(LongValue, CutOffByTheServerItIsCutOffForTheClient) {
+TEST(LongValue, ACutOffByTheServerReachesTheClient) {
   LineServer cache(
       [](const std::string& line, int) { return long_answer(line).substr(0, kLength / 2); },
       /*close_after_reply=*/true);
@@ -147,10 +147,10 @@
   EXPECT_LT(got.size(), kLength);
   EXPECT_TRUE(long_value().compare(0, got.size(), got) == 0);
   EXPECT_TRUE(router.eventually([](Router& r) { return r.open_requests() == 0; }));
-  EXPECT_EQ(cache.lines().size(), 1u);  // no attempt after the answer has begun
+  EXPECT_EQ(cache.lines().size(), 1u);  // no attempt after the response has begun
 }
 
-TEST(LongValue, ALengthThatIsALieIsAFailedAttemptAndTriedElsewhere) {
+TEST(LongValue, AFalseLengthIsAFailedAttemptAndRetriedElsewhere) {
   std::atomic<int> false_lengths{0};
   auto false_length = [&](const std::string& line, int) {
     if (false_lengths++ > 0) return value_for(line);
@@ -165,7 +165,7 @@
   EXPECT_EQ(false_lengths, 2);
 }
 
-TEST(LongValue, GarbledEndAndSilenceAreCutOffToo) {
+TEST(LongValue, ACorruptEndOrSilenceIsCutOff) {
   for (bool silent : {false, true}) {
     LineServer cache([silent](const std::string& line, int) {
       std::string text = long_answer(line);
@@ -180,7 +180,7 @@
   }
 }
 
-TEST(LongValue, AClientThatLeavesEndsIt) {
+TEST(LongValue, ADisconnectedClientEndsIt) {
   LineServer cache([](const std::string& line, int) { return long_answer(line); });
   RunningRouter router({.dials = {cache.address()}});
   {
--- a/tests/net/net_support.hpp
+++ b/tests/net/net_support.hpp
@@ -1,5 +1,5 @@
-// A real router on loopback sockets for tests, and the peers that it talks to. Everything waits on
-// events; kPatience only bounds how long a broken build hangs.
+// A real router on loopback sockets for tests, and its peers. Everything waits on events;
+// kTestTimeoutMs only bounds how long a broken build hangs.
 #pragma once
 
 #include <arpa/inet.h>
@@ -49,11 +49,11 @@
   void send(const std::string& text) {
     for (std::size_t at = 0; at < text.size();) {
       ssize_t put = ::send(fd_.get(), text.data() + at, text.size() - at, MSG_NOSIGNAL);
-      if (put <= 0) return;  // the router has closed: what it said shows in read_all()
+      if (put <= 0) return;  // the router has closed: its response shows in read_all()
       at += static_cast<std::size_t>(put);
     }
   }
-  /// One line without its end; what has come where the connection ends first.
+  /// One line without its end; what has come if the connection ends first.
   std::string line() {
     while (in_.find('\n') == in_.npos && more()) {
     }
@@ -63,7 +63,7 @@
     if (!text.empty() && text.back() == '\r') text.pop_back();
     return text;
   }
-  /// So many bytes, or what has come where the connection ends first.
+  /// `count` bytes, or what has come if the connection ends first.
   std::string bytes(std::size_t count) {
     while (in_.size() < count && more()) {
     }
@@ -71,17 +71,17 @@
     in_.erase(0, count);
     return text;
   }
-  /// All that comes until the connection ends; "(open)" at the end where it doesn't.
+  /// All that comes until the connection ends, with "(open)" behind it if it does not end.
   std::string read_all() {
     while (more()) {
     }
     return ended_ ? in_ : in_ + "(open)";
   }
   bool ended() const { return ended_; }
-  /// It ended by a reset, which takes along what was not read yet.
+  /// The connection ended by a reset, which discards unread bytes.
   bool reset() const { return reset_; }
   int fd() const { return fd_.get(); }
-  /// Ends the sending side alone.
+  /// Shuts down the sending side only.
   void end_sending() { ::shutdown(fd_.get(), SHUT_WR); }
 
  private:
@@ -103,13 +103,14 @@
   bool ended_ = false, reset_ = false;
 };
 
-/// A reply that ends the connection instead.
+/// As a reply: closes the connection instead.
 inline const std::string kClose = "(close)";
 
-/// A server for tests: a thread that accepts, reads lines and answers each with what `reply` gives.
+/// A test server: a thread that accepts connections, reads lines and answers each with the result
+/// of `reply`.
 class LineServer {
  public:
-  /// Gets the line without its end and its number among all lines of this server.
+  /// Gets the line without its end, and its index among all lines of this server.
   using Reply = std::function<std::string(const std::string& line, int number)>;
   explicit LineServer(Reply reply, bool close_after_reply = false)
       : reply_(std::move(reply)),
@@ -161,11 +162,11 @@
   struct Peer {
     Fd fd;
     std::string in, out;
-    bool closes = false;  ///< once all is written
+    bool closes = false;  ///< once all output is written
   };
   bool serve(Peer& peer, short what) {
     if ((what & ~POLLOUT) && !peer.closes && !read(peer)) return false;
-    // One that takes nothing holds up nobody else.
+    // A peer that reads nothing must not block the others.
     ssize_t put =
         ::send(peer.fd.get(), peer.out.data(), peer.out.size(), MSG_NOSIGNAL | MSG_DONTWAIT);
     if (put > 0) peer.out.erase(0, static_cast<std::size_t>(put));
@@ -209,7 +210,7 @@
   std::thread thread_;
 };
 
-/// The id of a command's line, behind ` O`.
+/// The id of a command line, behind ` O`.
 inline std::string id_of(const std::string& line) {
   std::size_t at = line.find(" O") + 2;
   return line.substr(at, line.find(' ', at) - at);
@@ -238,23 +239,23 @@
 }
 
 struct RouterOptions {
-  std::vector<std::string> dials;  ///< of the servers in `known`, s-0 and onward
+  std::vector<std::string> dials;  ///< addresses of the initial servers s-0, s-1, ...
   std::string discovery = "127.0.0.1:1";
   int sockets = 256;
   int memory_mb = 32;
   std::string deadline_us = "2000000", objective_us = "1000000";
   bool retry_after = false;
   std::vector<std::string> more_tenants;  ///< besides acme
-  std::string operator_listen;            ///< where operators call; none where empty
-  std::string state_directory;            ///< a folder that outlives the router
-  int accept_fd = -1;                     ///< a listening socket that it inherits
-  bool list_on_demand = false;            ///< lists are asked for, not pushed
+  std::string operator_listen;            ///< address for operators; none if empty
+  std::string state_directory;            ///< a directory that outlives the router
+  int accept_fd = -1;                     ///< an inherited listening socket
+  bool list_on_demand = false;            ///< lists are polled, not pushed
   bool may_cancel = true;
   bool may_hedge = true;
-  int streams = 1;  ///< of one connection
+  int streams = 1;  ///< per connection
   std::string key_ttl_us = "5000000";
   std::string dial_timeout_us = "75000";
-  int routers = 2;  ///< of the tier
+  int routers = 2;  ///< routers in the tier
   std::string drain_grace_us = "0", slow_start_us = "0";
 };
 
@@ -292,7 +293,7 @@
 /// A router in a thread of its own, which ends with the object.
 class RunningRouter {
  public:
-  /// What the router sees of the system; HeldIo is one.
+  /// Wraps the Io that the router uses, for example in a HeldIo.
   using Wrap = std::function<std::unique_ptr<Io>(SystemIo&)>;
   explicit RunningRouter(const RouterOptions& options, const Wrap& wrap = {})
       : config_(parse_config(config_text(options))) {
@@ -326,7 +327,7 @@
     ::close(wake_[0]);
     ::close(wake_[1]);
   }
-  /// Waits for the end of a router that was told to stop.
+  /// Waits for the end of a router that was stopped.
   void join() { thread_.join(); }
   std::uint16_t port() const { return port_; }
   const Config& config() const { return config_; }
@@ -345,7 +346,7 @@
     EXPECT_EQ(::write(wake_[1], "x", 1), 1);
     done.get_future().wait();
   }
-  /// Waits until `holds` is true of the router.
+  /// Waits until `holds` returns true for the router.
   bool eventually(const std::function<bool(Router&)>& holds) {
     for (int k = 0; k < kTestTimeoutMs / 20; ++k) {
       bool yes = false;
--- a/tests/net/pool_set_test.cpp
+++ b/tests/net/pool_set_test.cpp
@@ -1,4 +1,5 @@
-// Pools without sockets: modules made at first use, given back when idle, what each hears of lists.
+// PoolSet without sockets: modules created on first use, freed when idle, and the part of each list
+// that they receive.
 #include "net/pool_set.hpp"
 
 #include <malloc.h>
@@ -8,7 +9,7 @@
 namespace violetusher::net::test {
 namespace {
 
-/// Writes down what modules hear.
+/// Records what is sent to modules.
 struct RecordingHandler : PoolSet::Handler {
   struct List {
     std::uint32_t module;
@@ -40,17 +41,17 @@
   PoolSet pools{config, handler, 1'000'000};
 };
 
-TEST(PoolSet, AModuleComesWithTheFirstRequestAndHearsItsPartOfTheList) {
+TEST(PoolSet, TheFirstRequestCreatesAModuleWithItsPartOfTheList) {
   Fixture f;
   EXPECT_EQ(f.handler.lists.size(), 1u);  // that of the whole list
   f.pools.set_traffic_policy(traffic("pool p { hosts = [\"*-1\"]; }\nroute r { pool = p; }\n"));
   EXPECT_EQ(f.pools.modules(), 1u);
-  EXPECT_TRUE(f.pools.has_live("p"));  // without a module of its own
+  EXPECT_TRUE(f.pools.has_live("p"));  // although it has no module
   auto number = f.pools.begin_request("p", 2'000'000);
   ASSERT_TRUE(number);
   EXPECT_EQ(f.handler.started.back(), *number);
   EXPECT_EQ(f.handler.lists.back().servers, (std::vector<std::string>{"s-1"}));
-  // A change that is not its own is told as nothing; one that takes its server is told.
+  // A removal of another pool's server is not sent to it; the removal of its own is.
   f.pools.apply_list(
       parse_host_list(host_list("2", {host_entry("s-0", "127.0.0.1:9", "left")}, false)));
   f.pools.apply_list(
@@ -63,27 +64,27 @@
   EXPECT_FALSE(f.pools.has_live("p"));
 }
 
-TEST(PoolSet, APoolThatSelectsOthersLeavesWithItsLastRequest) {
+TEST(PoolSet, AChangedPoolsModuleIsFreedWithItsLastRequest) {
   Fixture f;
   f.pools.set_traffic_policy(traffic("pool p { hosts = [\"*-1\"]; }\nroute r { pool = p; }\n"));
   std::uint32_t before = f.pools.begin_request("p", 2'000'000).value();
   f.pools.set_traffic_policy(traffic("pool p { hosts = [\"*-0\"]; }\nroute r { pool = p; }\n"));
   f.pools.free_modules(2'000'000);
-  EXPECT_NE(f.pools.find(before), nullptr);  // its request is still out
+  EXPECT_NE(f.pools.find(before), nullptr);  // its request is still open
   std::uint32_t after = f.pools.begin_request("p", 2'000'000).value();
   EXPECT_NE(after, before);
   f.pools.end_request(before, 2'100'000);
   f.pools.free_modules(2'100'000);
   EXPECT_EQ(f.pools.find(before), nullptr);
   EXPECT_NE(f.pools.find(after), nullptr);
-  // One that means the same stays, with what it has learnt.
+  // An equivalent pool keeps its module and the module's state.
   f.pools.set_traffic_policy(
       traffic("limit l { in_flight = 9; }\npool p { hosts = [\"*-0\"]; limit = l; }\nroute r { "
               "pool = p; }\n"));
   EXPECT_EQ(f.pools.begin_request("p", 2'200'000), after);
 }
 
-TEST(PoolSet, AnIdleModuleIsGivenBackAndMadeAgain) {
+TEST(PoolSet, AnIdleModuleIsFreedAndCreatedAgain) {
   Fixture f;
   f.pools.set_traffic_policy(traffic("pool p { }\nroute r { pool = p; }\n"));
   std::uint32_t number = f.pools.begin_request("p", 2'000'000).value();
@@ -108,7 +109,7 @@
   return text;
 }
 
-/// Of 10,000 pools only those that are asked for cost anything, and there is a bound on them.
+/// Guards against a cost of unused pools: of 10,000 pools only the ten in use get a module.
 TEST(PoolSet, TenThousandPoolsOfWhichTenAreUsed) {
   Fixture f;
   auto model = traffic(many_pools(10'000));
@@ -124,7 +125,7 @@
   EXPECT_FALSE(f.pools.begin_request("none", 2'000'000));
 }
 
-TEST(PoolSet, AtItsBoundAnIdleModuleMakesRoomAndOneInUseDoesNot) {
+TEST(PoolSet, AtTheLimitOnlyAnIdleModuleMakesRoom) {
   Fixture f;
   f.pools.set_traffic_policy(traffic(many_pools(1'000)));
   std::vector<std::uint32_t> in_use;
--- a/tests/net/race_test.cpp
+++ b/tests/net/race_test.cpp
@@ -1,5 +1,5 @@
-// What comes between two lines: each crossing of docs/design/crossings.md is forced on real
-// loopback sockets, by a peer that stops at a named point or by a call that is held back.
+// Races between the router and its peers: each race of docs/design/crossings.md is forced on real
+// loopback sockets, by a peer that stops at a given point or by a delayed event.
 #include <sys/resource.h>
 
 #include <chrono>
@@ -16,7 +16,7 @@
   return std::chrono::duration<double>(Steady::now() - then).count();
 }
 
-/// A router whose calls can be held back.
+/// A router whose socket events can be delayed.
 struct RouterWithHeldIo {
   explicit RouterWithHeldIo(const RouterOptions& options)
       : router(options, [this](SystemIo& system) {
@@ -45,11 +45,11 @@
 
 using Ids = std::vector<std::string>;
 
-// ---- a client that has closed has gone ----
+// ---- a client that closes has disconnected ----
 
-/// An attempt that waits for its dial when its client closes is not sent, whether or not the
-/// settings allow attempts to be cancelled: it has not begun.
-TEST(ClientGone, AnAttemptThatWaitsForItsDialIsTakenBack) {
+/// Guards against sending an attempt that waits for its dial when its client closes, whether or not
+/// the settings allow attempts to be cancelled: it has not started.
+TEST(ClientGone, AnAttemptThatWaitsForItsDialIsWithdrawn) {
   for (bool may_cancel : {true, false}) {
     LineServer cache(good_cache);
     RouterWithHeldIo held({.dials = {cache.address()},
@@ -71,7 +71,7 @@
   }
 }
 
-/// The same of an attempt that waits behind others, with the client's end a reset.
+/// The same if the client resets the connection.
 TEST(ClientGone, AResetIsAClose) {
   LineServer cache(good_cache);
   RouterWithHeldIo held({.dials = {cache.address()},
@@ -94,8 +94,8 @@
   EXPECT_EQ(ids_of(cache), Ids{"other"});
 }
 
-/// A connection whose pipeline is full is not read, so that nothing shows its end: neither do what
-/// is out go on nor does what waits behind it begin.
+/// Guards against an unseen close: a connection with a full pipeline is not read, yet its close
+/// must end the attempts in flight and keep the deferred commands from starting.
 TEST(ClientGone, IsSeenWhileItsConnectionIsNotRead) {
   LineServer cache([](const std::string& line, int) {
     return id_of(line)[0] == 'g' ? std::string() : value_for(line);
@@ -121,11 +121,11 @@
   EXPECT_EQ(cache.lines().size(), sent + 1);
 }
 
-/// A command that is read in one go with its client's close is not sent on.
+/// Guards against forwarding a command that is read together with its client's close.
 TEST(ClientGone, BeforeItsCommandIsRead) {
   LineServer cache(good_cache);
   RunningRouter router({.dials = {cache.address()}});
-  router.post([&](Router&) {  // the router's loop stands still meanwhile
+  router.post([&](Router&) {  // blocks the router's loop meanwhile
     for (int k = 0; k < 20; ++k) {
       Client client(router.port());
       client.send(read_command("gone" + std::to_string(k)));
@@ -138,10 +138,11 @@
   EXPECT_EQ(ids_of(cache), Ids{"other"});
 }
 
-// ---- resting connections ----
+// ---- idle client connections ----
 
-/// A request that comes in the very moment in which its resting connection is ended is served.
-TEST(RestingClients, ARequestThatCrossesTheEndIsServed) {
+/// Guards against losing a request that arrives at the moment in which its idle connection is
+/// closed.
+TEST(IdleClients, ARequestThatArrivesDuringTheCloseIsServed) {
   LineServer cache(good_cache);
   RouterWithHeldIo held({.dials = {cache.address()}});
   Client client(held.router.port());
@@ -150,7 +151,7 @@
   EXPECT_EQ(client.line(), "price");
   held.hold_clients(true);
   client.send(read_command("second"));
-  EXPECT_EQ(client.line(), "VA 5 Osecond");  // the end of its rest looks before it closes
+  EXPECT_EQ(client.line(), "VA 5 Osecond");  // the idle close reads before it closes
   EXPECT_EQ(client.line(), "price");
   held.hold_clients(false);
   EXPECT_EQ(client.read_all(), "");
@@ -158,27 +159,27 @@
   EXPECT_FALSE(client.reset());
 }
 
-/// One that is ended while its client says something is ended cleanly: what crosses is not sent on,
-/// and the client is not reset.
-TEST(RestingClients, AreEndedWithoutAReset) {
+/// Guards against a reset of a client that sends while its idle connection is being closed: the
+/// command is not forwarded and the close is clean.
+TEST(IdleClients, AreClosedWithoutAReset) {
   LineServer cache(good_cache);
   RunningRouter router({.dials = {cache.address()}});
   Client client(router.port());
   client.send(read_command("first"));
   EXPECT_EQ(client.line(), "VA 5 Ofirst");
   EXPECT_EQ(client.line(), "price");
-  EXPECT_EQ(client.line(), "");  // the router has ended its side
+  EXPECT_EQ(client.line(), "");  // the router has shut down its sending side
   EXPECT_TRUE(client.ended());
   client.send(read_command("late"));
   ASSERT_TRUE(router.eventually([](Router& r) { return r.client_connections() == 0; }));
   EXPECT_EQ(ids_of(cache), Ids{"first"});
 }
 
-// ---- repeats and what is told to servers ----
+// ---- retries and the time left that servers are sent ----
 
-/// What has waited for its connection tells the server what is left then, not what was left when it
-/// was decided.
-TEST(TimeTold, IsWhatIsLeftWhenTheAttemptIsWritten) {
+/// Guards against a stale time left: an attempt that has waited for its connection sends what is
+/// left when it is written, not what was left when it was decided.
+TEST(TimeLeft, IsWhatIsLeftWhenTheAttemptIsWritten) {
   LineServer cache(good_cache);
   RouterWithHeldIo held({.dials = {cache.address()}, .dial_timeout_us = "5000000"});
   held.hold_dials(true);
@@ -195,9 +196,10 @@
   EXPECT_GT(sent_ms, 0);
 }
 
-/// A keyed write that may have run is repeated only while servers remember it. One that waited for
-/// its dial past that is not begun.
-TEST(Repeats, OfAKeyedWriteDoNotBeginBehindTheWindow) {
+/// Guards against a late retry of a keyed write: one that may have run is retried only while
+/// servers remember its key, so an attempt that waited for its dial past that window is not
+/// started.
+TEST(Retries, OfAKeyedWriteDoNotStartAfterItsKeyExpires) {
   std::atomic<int> lines{0};
   auto reply = [&](const std::string& line, int) {
     if (line.rfind("ms ", 0) != 0) return std::string();  // the value
@@ -213,7 +215,7 @@
     Client client(held.router.port());
     client.send("ms k1 5 Ow Pc=put,t=acme,d=1900,k=r1\r\nhello\r\n");
     ASSERT_TRUE(held.router.eventually([](Router& r) { return r.server_connections() == 1; }));
-    // Lets the first dial through, and holds the next.
+    // Lets the first dial through and delays the next.
     held.hold_dials(false);
     held.hold_dials(true);
     auto since = Steady::now();
@@ -228,10 +230,10 @@
   }
 }
 
-/// Where second copies are not allowed an attempt is over when its server can tell: one that shares
-/// its connection with others that still wait is not, and no other attempt is made meanwhile. Once
-/// all of them are overdue the connection ends, and all are tried elsewhere.
-TEST(Repeats, DoNotBeginWhileTheAttemptGivenUpIsStillOutForItsNeighbours) {
+/// Guards against a second attempt beside one that is in flight where hedging is not allowed: an
+/// attempt on a shared connection is not over while others there still wait. Once all of them have
+/// timed out the connection is closed, and all are retried elsewhere.
+TEST(Retries, DoNotStartWhileATimedOutAttemptSharesItsConnection) {
   std::atomic<int> stuck_server{-1};
   auto reply = [&](int self) {
     return [&stuck_server, self](const std::string& line, int) {
@@ -256,7 +258,7 @@
   second.send(read_command("b", "k1", "1900"));
   ASSERT_TRUE(router.eventually([&](Router&) { return stuck.lines().size() == 2; }));
   EXPECT_EQ(stuck.connections(), 1);
-  // The first one's time limit of 0.6 s is over, the second one's not yet.
+  // The first attempt's timeout of 0.6 s has passed, the second one's has not.
   while (seconds_since(since) < 0.75) std::this_thread::sleep_for(std::chrono::milliseconds(5));
   EXPECT_TRUE(other.lines().empty());
   EXPECT_EQ(first.line(), "VA 5 Oa");
@@ -265,10 +267,10 @@
   EXPECT_EQ(other.lines().size(), 2u);
 }
 
-// ---- planned end ----
+// ---- shutdown ----
 
-/// SIGKILL comes 0.7 s after the longest deadline, and no later than 3.7 s after SIGTERM however
-/// long deadlines are: until then every request has its answer, and it can be read.
+/// Guards against requests without a response at SIGKILL, which comes 0.7 s after the longest
+/// deadline and at most 3.7 s after SIGTERM however long deadlines are.
 TEST(Stopping, AnswersBeforeThePlatformKillsWhateverTheDeadline) {
   LineServer cache(never_answer);
   RunningRouter router(
@@ -282,8 +284,9 @@
   EXPECT_LT(seconds_since(stopped_at), 3.7);
 }
 
-/// A client that goes on sending up to the end reads its answer, and no reset takes it along.
-TEST(Stopping, AnswersAreNotTakenAlongByAReset) {
+/// Guards against a reset that discards the response of a client that goes on sending up to the
+/// end.
+TEST(Stopping, AResetDoesNotDiscardAnswers) {
   LineServer cache(never_answer);
   RunningRouter router(
       {.dials = {cache.address()}, .deadline_us = "20000000", .objective_us = "15000000"});
@@ -301,8 +304,8 @@
   EXPECT_FALSE(client.reset());
 }
 
-/// Nor does one that says nothing keep the router for its longest time.
-TEST(Stopping, IsNotHeldUpByAClientThatSaysNothing) {
+/// Guards against a silent client that delays the shutdown up to its limit.
+TEST(Stopping, IsNotDelayedByASilentClient) {
   LineServer cache(good_cache);
   RunningRouter router({.dials = {cache.address()}});
   Client silent(router.port()), half(router.port());
@@ -312,11 +315,12 @@
   EXPECT_EQ(silent.read_all(), "");
   EXPECT_TRUE(silent.ended());
   EXPECT_LT(seconds_since(stopped_at),
-            2);  // 0.5 s until it stops listening, and 0.2 s for a first word
+            2);  // 0.5 s until it stops listening, 0.2 s of grace
 }
 
-/// Half a command is waited for, but not past the last moment.
-TEST(Stopping, AHalfCommandEndsWithTheLastMoment) {
+/// Guards against a half command that delays the exit: it is awaited, but not past the end of the
+/// shutdown.
+TEST(Stopping, AHalfCommandIsClosedAtTheLimit) {
   LineServer cache(good_cache);
   RunningRouter router(
       {.dials = {cache.address()}, .deadline_us = "300000", .objective_us = "200000"});
@@ -335,9 +339,9 @@
   EXPECT_EQ(ids_of(cache), Ids{"a"});
 }
 
-/// What has come on a connection by the time it is closed was taken, however much it is: all of it
-/// is answered.
-TEST(Stopping, ReadsAllThatHasComeBeforeItCloses) {
+/// Guards against unanswered commands: all that has arrived on a connection by the time it is
+/// closed is answered, however much it is.
+TEST(Stopping, AnswersAllThatArrivedBeforeTheClose) {
   LineServer cache(good_cache);
   RouterWithHeldIo held({.dials = {cache.address()}});
   Client client(held.router.port());
@@ -345,7 +349,7 @@
   EXPECT_EQ(client.line(), "VA 5 Ofirst");
   EXPECT_EQ(client.line(), "price");
   held.hold_clients(true);
-  constexpr int kCommands = 10'000;  // more than is read at once
+  constexpr int kCommands = 10'000;  // more than one read returns
   std::string many;
   for (int k = 0; k < kCommands; ++k) many += "mn\r\n";
   client.send(many + read_command("last"));
@@ -357,8 +361,8 @@
   EXPECT_FALSE(client.reset());
 }
 
-/// The second signal changes nothing.
-TEST(Stopping, TwiceIsOnce) {
+/// A second signal changes nothing.
+TEST(Stopping, ASecondSignalChangesNothing) {
   LineServer cache([](const std::string& line, int) { return value_for(line); });
   RunningRouter router({.dials = {cache.address()}});
   for (int k = 0; k < 2; ++k) router.post([](Router& r) { r.stop(); });
@@ -368,11 +372,11 @@
   router.join();
 }
 
-// ---- new settings ----
+// ---- settings updates ----
 
-/// A configuration that can't be used, during the change-over of one that can, changes nothing now
-/// or at its end.
-TEST(Settings, BadOnesDuringAChangeOverChangeNothing) {
+/// Guards against settings that are applied although they are invalid: a bad configuration during
+/// the transition to a good one changes nothing, neither now nor at the end of the transition.
+TEST(Settings, InvalidOnesDuringATransitionChangeNothing) {
   LineServer cache(good_cache);
   RunningRouter router({.dials = {cache.address()}});
   Config good = router.config(), bad = router.config();
@@ -386,7 +390,7 @@
   });
   EXPECT_TRUE(taken);
   EXPECT_TRUE(refused);
-  while (seconds_since(since) < 2)  // the change-over takes 1.5 s
+  while (seconds_since(since) < 2)  // the transition takes 1.5 s
     router.post([](Router&) { std::this_thread::sleep_for(std::chrono::milliseconds(5)); });
   router.post([](Router& r) {
     EXPECT_EQ(r.config().settings.max_attempts, 3);
@@ -397,9 +401,9 @@
   EXPECT_EQ(client.line(), "VA 5 Oa");
 }
 
-/// Another deployment's configuration takes the place of the old one whole: what is gone is served
-/// until the end of the change-over, and means nothing afterwards.
-TEST(Settings, OfAnotherDeploymentReplaceTheOldWhole) {
+/// Guards against leftovers of the previous configuration: what is removed is served until the end
+/// of the transition and is unknown afterwards.
+TEST(Settings, OfAnotherDeploymentLeaveNothingOfTheOld) {
   LineServer cache(good_cache);
   RunningRouter router({.dials = {cache.address()}, .more_tenants = {"beta"}});
   Config other = router.config();
@@ -434,8 +438,9 @@
   });
 }
 
-/// Lists that were asked for are pushed now, or the other way round: calls go by the new terms.
-TEST(Settings, ThatAskForListsOtherwiseAreGoneBy) {
+/// Guards against watches with the timing of the old membership mode after a switch from pushed to
+/// polled lists.
+TEST(Settings, ANewMembershipModeChangesTheWatches) {
   LineServer cache(good_cache);
   std::atomic<int> waits{0};
   LineServer discovery([&](const std::string& line, int) {
@@ -448,7 +453,7 @@
   });
   RunningRouter router({.dials = {cache.address()}, .discovery = discovery.address()});
   ASSERT_TRUE(router.eventually([&](Router&) { return waits > 1; }));
-  EXPECT_LT(waits, 1000);  // pushed: by parts of the grace
+  EXPECT_LT(waits, 1000);  // pushed: fractions of the grace
   Config asked = router.config();
   asked.settings.list_on_demand = true;
   router.post([&](Router& r) { EXPECT_TRUE(r.reload(asked)); });
@@ -457,8 +462,9 @@
 
 // ---- descriptors ----
 
-/// Idle clients take every place they can while discovery is down. Once it is back its list is
-/// heard, servers that it names are reached, and a planned end comes to its end.
+/// Guards against idle clients that leave no descriptors for discovery and servers: they take every
+/// connection they can while discovery is down. Once it is back its list is applied, the servers in
+/// it are reached, and the shutdown completes.
 TEST(Descriptors, OfDiscoveryAndServersAreNotTakenByIdleClients) {
   LineServer old_cache(good_cache), new_cache(good_cache);
   std::atomic<bool> up{false};
--- a/tests/net/recycled_queue_test.cpp
+++ b/tests/net/recycled_queue_test.cpp
@@ -1,4 +1,4 @@
-// RecycledQueue against a deque, by random operations; and that elements keep their memory.
+// RecycledQueue against std::deque under random operations; removed elements keep their memory.
 #include "net/recycled_queue.hpp"
 
 #include <gtest/gtest.h>
@@ -10,7 +10,7 @@
 namespace violetusher::net {
 namespace {
 
-TEST(RecycledQueue, DoesWhatADequeDoes) {
+TEST(RecycledQueue, MatchesADeque) {
   for (unsigned seed = 1; seed <= 20; ++seed) {
     std::mt19937 random(seed);
     RecycledQueue<std::string> queue;
@@ -35,13 +35,13 @@
   }
 }
 
-TEST(RecycledQueue, KeepsTheMemoryOfWhatItTookOut) {
+TEST(RecycledQueue, KeepsTheMemoryOfRemovedElements) {
   RecycledQueue<std::string> queue;
   queue.push().assign(200, 'x');
   queue.pop_front();
   queue.push();
   queue.pop_front();
-  std::string& again = queue.push();  // two places so far: the first one's turn again
+  std::string& again = queue.push();  // of two slots the first is used again
   EXPECT_GE(again.capacity(), 200u);
 }
 
--- a/tests/net/request_core_test.cpp
+++ b/tests/net/request_core_test.cpp
@@ -1,6 +1,5 @@
-// The life of requests on virtual time and without sockets: a world of the test's own stands behind
-// the seam. Whatever order things happen in, each request gets one final answer and nothing of it
-// stays.
+// The life of requests on virtual time and without sockets, behind a simulated Io. In whatever
+// order events happen, each request gets one final response and none of its state stays.
 #include "net/request_core.hpp"
 
 #include <deque>
@@ -13,7 +12,7 @@
 namespace violetusher::net::test {
 namespace {
 
-/// Sockets as byte queues, time as the test sets it.
+/// Sockets as byte queues, with the time set by the test.
 class FakeIo final : public Io {
  public:
   struct End {
@@ -91,7 +90,7 @@
   std::unique_ptr<HttpGet> http(HttpGet::Done) override { return std::make_unique<FakeHttp>(); }
   void run_once() override {}
 
-  /// Lets the socket's owner see what is there.
+  /// Delivers a readiness event to the socket's owner.
   void ready(int socket, unsigned what) {
     if (ends[socket].open && ends[socket].target) ends[socket].target->on_ready(what);
   }
@@ -103,7 +102,7 @@
   int waiting_clients = 0, next = 1;
 };
 
-/// The core with its sides; what modules would say is said by the test.
+/// The core with both sides; the test takes the place of the decision modules.
 struct CoreFixture : PoolSet::Handler {
   void on_module_start(std::uint32_t) override {}
   void on_module_list(std::uint32_t, violetusher::ListScope,
@@ -136,7 +135,7 @@
     servers.flush();
     clients.flush();
   }
-  /// Events that are on their way to the module are told and forgotten.
+  /// Delivers the queued module events and drops them.
   void deliver_events() {
     while (!feed.empty()) {
       ModuleEvent& event = feed.pop();
@@ -168,7 +167,7 @@
   std::vector<std::string> alerts;
 };
 
-/// One request that has been sent to s-0 and reached it.
+/// One request that has been sent to s-0 and has reached it.
 struct OneInFlight : CoreFixture {
   OneInFlight() {
     socket = client();
@@ -185,7 +184,7 @@
   }
   void expect_nothing_left() {
     deliver_events();
-    advance(10'000'000);  // the client's time is over, then the last guard's
+    advance(10'000'000);  // the deadline passes, then the timer of the final answer
     deliver_events();
     advance(1'000'000);
     deliver_events();
@@ -231,8 +230,8 @@
      }},
 };
 
-/// Every two sources of an end, in both orders, with what they tell the module told in between or
-/// not.
+/// Guards against a lost or second response when two sources end a request: every pair, in both
+/// orders, with the module events of the first delivered in between or not.
 TEST(OneAnswer, FromEveryPairOfSources) {
   for (const EndSource& first : kEndSources)
     for (const EndSource& second : kEndSources)
@@ -252,22 +251,22 @@
       }
 }
 
-TEST(OneAnswer, ASecondIsStoppedAndTold) {
+TEST(OneAnswer, ASecondRefusalIsIgnored) {
   OneInFlight w;
   w.core.refuse({1, 0});
-  w.core.refuse({1, 0});  // the module again: let be, as it does not know yet
+  w.core.refuse({1, 0});  // the module again: ignored, as it is not notified yet
   EXPECT_TRUE(w.alerts.empty());
   EXPECT_EQ(w.answers(), "SERVER_ERROR busy\r\n");
 }
 
-TEST(LateAnswer, IsToldAsCloseToABrokenRule) {
+TEST(LateAnswer, RaisesAnAlert) {
   OneInFlight w;
-  w.io.time += 1'700'000;  // the loop was held up: no timer has rung
+  w.io.time += 1'700'000;  // the loop was held up: no timer has fired
   w.receive(w.server, "VA 5 Oa\r\nprice\r\n");
   EXPECT_EQ(w.alerts, std::vector<std::string>{"late-answer"});
 }
 
-TEST(Timing, ATimerThatFiresInTheTurnOfTheAnswerChangesNothing) {
+TEST(Timing, ATimerInTheIterationOfTheAnswerChangesNothing) {
   OneInFlight w;
   w.io.time += 1'500'000;
   w.receive(w.server, "VA 5 Oa\r\nprice\r\n");
@@ -277,7 +276,7 @@
   w.expect_nothing_left();
 }
 
-TEST(Timing, AnAnswersTimersLeaveWithIt) {
+TEST(Timing, TimersAreCancelledWithTheAnswer) {
   OneInFlight w;
   EXPECT_EQ(w.timers.size(), 1u);
   w.receive(w.server, "VA 5 Oa\r\nprice\r\n");
@@ -285,14 +284,14 @@
   EXPECT_EQ(w.timers.size(), 0u);
 }
 
-TEST(Bounds, WhatIsTurnedAwayLeavesNothing) {
+TEST(Bounds, RejectedRequestsLeaveNoState) {
   CoreFixture w({2, 1u << 20});
   int socket = w.client();
   w.receive(socket, read_command("a") + read_command("b") + read_command("c") + read_command("a"));
   EXPECT_EQ(w.core.table().size(), 2u);
   w.flush();
   EXPECT_EQ(w.io.ends[socket].out,
-            "");  // in the order of the commands: the first two are still out
+            "");  // responses keep the order of the commands: the first two are still open
   w.core.fail({1});
   w.core.fail({2});
   w.deliver_events();
@@ -304,9 +303,9 @@
   EXPECT_FALSE(w.core.table().has_client_id("c"));
 }
 
-/// Random lives from a seed: whatever happens to hundreds of requests, each is answered at most
-/// once, all that still have a client are answered, and the table ends empty.
-TEST(Lives, AllEndWithOneAnswerAndLeaveNothing) {
+/// Guards against lost responses and leaks over random histories: hundreds of requests are each
+/// answered at most once, all whose client stays are answered, and the table ends empty.
+TEST(RandomHistories, EndWithOneAnswerEachAndNoState) {
   for (std::uint64_t seed = 1; seed <= 40; ++seed) {
     std::mt19937_64 random(seed);
     CoreFixture w({30, 1u << 20});
--- a/tests/net/server_side_test.cpp
+++ b/tests/net/server_side_test.cpp
@@ -1,12 +1,12 @@
-// Cache servers that misbehave, against the real router and its server side.
+// Misbehaving cache servers, against a real router or its server side alone.
 #include "net_support.hpp"
 
 namespace violetusher::net::test {
 namespace {
 
-/// What comes behind a good answer must not be taken for the answer to the next request. There is
-/// one server only, so a spoilt second request could not be mended elsewhere.
-TEST(BadServers, WhatComesBehindAnAnswerSpoilsNothing) {
+/// Guards against taking bytes behind a good answer for the answer to the next request. With only
+/// one server a corrupted second request could not be retried elsewhere.
+TEST(BadServers, BytesBehindAnAnswerAreNotTheNextAnswer) {
   const std::vector<std::string> extras = {"VA 5 Oother h1\r\nwrong\r\n", "noise\r\n", "noi",
                                            "VA 5 Oa", "VA 900 Oa1 h1\r\nxx"};
   for (const std::string& extra : extras) {
@@ -23,10 +23,10 @@
   }
 }
 
-/// A spoilt answer is a failed attempt, whatever is wrong with it, also where the connection stays
-/// open and silent; the other server answers then. The deadline is far away: without a defence of
-/// its own the router would wait for it.
-TEST(BadServers, SpoiltAnswersAreFailedAttempts) {
+/// Guards against waiting for the deadline on a corrupt answer: it is a failed attempt whatever is
+/// wrong with it, also if the connection stays open and silent, and the other server answers. The
+/// deadline is far away, so that only the router's own timeout can end the attempt.
+TEST(BadServers, CorruptAnswersAreFailedAttempts) {
   const std::vector<std::string> spoilt = {"\x01\x02\x03\r\n",
                                            "VA five O%\r\nprice\r\n",
                                            "VA -1 O% h1\r\nprice\r\n",
@@ -58,7 +58,7 @@
   }
 }
 
-/// A connection that the server has closed behind an answer is seen to be closed before it is used.
+/// Guards against reusing a connection that the server has closed behind an answer.
 TEST(BadServers, AClosedConnectionIsNotUsedAgain) {
   LineServer cache(good_cache, /*close_after_reply=*/true);
   RunningRouter router({.dials = {cache.address()}});
@@ -71,8 +71,8 @@
   }
 }
 
-/// A server that has left is forgotten, whether a change or a whole list says so.
-TEST(Servers, ThatHaveLeftLeaveNothingBehind) {
+/// Guards against state kept for removed servers, whether a change or a whole list removes them.
+TEST(Servers, ThatAreRemovedLeaveNoState) {
   struct Ignore : ServerSide::Handler {
     void on_attempt_written(RequestId, int, bool, Micros) override {}
     void on_attempt_end(RequestId, int, Status, Answer&&) override {}
@@ -95,7 +95,7 @@
   }
 }
 
-/// A server side in a loop of the test's own; counts what it is told.
+/// A server side in an event loop of the test's own; records the outcomes.
 struct DrivenServerSide : ServerSide::Handler {
   void on_attempt_written(RequestId, int, bool, Micros) override {}
   explicit DrivenServerSide(const LineServer& cache, std::size_t per_server)
@@ -137,9 +137,10 @@
   std::unique_ptr<ServerSide> side;
 };
 
-/// A send counts from its first byte: what waits for a connection, or for its turn, when the server
-/// is told to leave is not sent any more; what is written is answered.
-TEST(Attempts, ThatWaitWhenTheirServerIsToldToLeaveAreNotSent) {
+/// Guards against sending to a draining server: an attempt counts as sent from its first byte, so
+/// one that waits for a connection or its turn is not sent any more, and one that is written is
+/// answered.
+TEST(Attempts, ThatAreQueuedAreNotSentToADrainingServer) {
   LineServer cache(good_cache);
   for (const char* health : {"leaving", "left"}) {
     DrivenServerSide driven(cache, 2);
@@ -147,7 +148,7 @@
     driven.send(1);
     ASSERT_TRUE(driven.eventually([&] { return driven.ended.count(1) > 0; }));
     EXPECT_EQ(driven.ended[1], Status::Ok);
-    driven.send(2);  // on the connection that is there
+    driven.send(2);  // on the open connection
     driven.side->flush();
     driven.send(3);  // dials
     driven.send(4);  // waits behind others
@@ -157,26 +158,26 @@
     EXPECT_EQ(driven.ended[4], Status::ConnectFailed);
     ASSERT_TRUE(driven.eventually([&] { return driven.ended.count(2) > 0; }));
     EXPECT_EQ(driven.ended[2], Status::Ok);
-    driven.send(5);  // decided before the list was heard
+    driven.send(5);  // decided before the list was delivered
     EXPECT_EQ(driven.ended[5], Status::ConnectFailed);
     ASSERT_TRUE(driven.eventually([&] { return driven.side->connections() == 0; }));
     EXPECT_EQ(cache.lines().size(), before + 2);
   }
 }
 
-/// Protects against: servers at work for clients that have left, as nothing told them of it.
-TEST(Attempts, GivingOneUpEndsAConnectionOfItsOwnAtOnce) {
+/// Guards against servers that work for clients that have left because nothing notified them.
+TEST(Attempts, CancellingOneClosesAnUnsharedConnection) {
   LineServer cache([](const std::string&, int) { return std::string(); });  // never answers
   DrivenServerSide driven(cache, 8);
   driven.send(1);
   ASSERT_TRUE(driven.eventually([&] { return cache.lines().size() == 1; }));
   EXPECT_EQ(driven.side->cancel("s-0", 1, 0), Status::Cancelled);  // it may have run
   EXPECT_EQ(driven.side->connections(), 0u);
-  EXPECT_TRUE(driven.ended.empty());  // a cancelled attempt is told of no more
+  EXPECT_TRUE(driven.ended.empty());  // a cancelled attempt is not reported again
 }
 
-/// Nor is a neighbour on the same connection taken along.
-TEST(Attempts, GivingOneUpLeavesItsNeighboursAlone) {
+/// Guards against losing another attempt on the same connection.
+TEST(Attempts, CancellingOneKeepsASharedConnection) {
   std::atomic<bool> answer{false};
   LineServer cache([&](const std::string& line, int) {
     if (id_of(line) != "a2") return std::string();
@@ -196,13 +197,13 @@
   EXPECT_EQ(driven.ended.count(1), 0u);
 }
 
-/// Protects against: routers by hundreds that fill the tables of price caches with connections that
-/// none of them uses. One whose part is small gives its own back, and the next request has a new
-/// one; one with a whole part keeps it.
-TEST(Connections, AreGivenBackWhereARoutersPartOfTheTableIsSmall) {
+/// Guards against routers by hundreds that fill the connection tables of price caches with idle
+/// connections. A router with a small share closes its own, and the next request dials again; a
+/// router with a share of one or more keeps it.
+TEST(Connections, AreClosedWhenIdleIfTheRoutersShareIsSmall) {
   for (int routers : {2, 300}) {
     LineServer cache(good_cache);
-    // Price caches that keep idle connections for an hour: nothing but the part ends one here.
+    // Price caches that keep idle connections for an hour: only the router's share ends one here.
     DrivenServerSide driven(cache, core::connection_share(routers, 3600 * kSecond));
     for (RequestId id : {1, 2}) {
       driven.send(id);
@@ -217,9 +218,9 @@
   }
 }
 
-/// Protects against: attempts that ran on for clients that had closed, unseen by the module, up to
-/// the deadline. One that still reads gets its final answer.
-TEST(Attempts, OfAClientThatClosesAreGivenUpAtOnce) {
+/// Guards against attempts that run on up to the deadline, unseen by the module, for clients that
+/// have closed. A client that still reads gets its final response.
+TEST(Attempts, OfADisconnectedClientAreCancelled) {
   for (bool reads : {false, true}) {
     LineServer cache([](const std::string&, int) { return std::string(); });  // never answers
     RunningRouter router(
@@ -239,9 +240,9 @@
   }
 }
 
-/// Protects against: keys that count as not held since a server was once too full for them, and are
-/// refused at the door of fetches from then on, though the server holds them.
-TEST(Admission, AHeldKeyThatMetAFullServerStaysHeld) {
+/// Guards against keys that count as not held after one rejection by an overloaded server:
+/// admission control would reject them from then on, though the server holds them.
+TEST(Admission, AHeldKeyStaysHeldAfterAnOverloadedServer) {
   std::atomic<bool> full{false};
   LineServer cache([&](const std::string& line, int) {
     if (line.rfind("mg held", 0) != 0) return std::string("SERVER_ERROR failed\r\n");
@@ -257,7 +258,8 @@
     client.line();
     return true;
   };
-  // Fetches fail until nearly all are refused unseen; held keys are served all the while.
+  // Fetches fail until nearly all of them are rejected by admission control; held keys are served
+  // all the while.
   int unseen = 0;
   for (int k = 0; k < 20'000 && unseen < 30; ++k) {
     std::size_t before = cache.lines().size();
@@ -276,9 +278,9 @@
   EXPECT_GE(again, 5);
 }
 
-/// Protects against: live servers judged dead, and a retry budget spent, as kept connections break
-/// when they are used again. Each connection of the one cache serves a single request.
-TEST(BadServers, KeptConnectionsThatBreakTellNothingOfTheServer) {
+/// Guards against ejected live servers and a spent retry budget when kept connections break on
+/// reuse. Each connection of one of the caches serves a single request.
+TEST(BadServers, BrokenKeptConnectionsDoNotEjectTheServer) {
   LineServer breaks(
       [](const std::string& line, int number) { return number % 2 ? kClose : value_for(line); });
   LineServer good(good_cache);
@@ -289,11 +291,11 @@
     EXPECT_EQ(client.line(), "VA 5 Oa" + std::to_string(k));
     EXPECT_EQ(client.line(), "price");
   }
-  EXPECT_GE(breaks.lines().size(), 60u);  // about half of the keys are its own
+  EXPECT_GE(breaks.lines().size(), 60u);  // about half of the keys prefer it
 }
 
-/// An unreadable report is no report: it must not pass for the report of an idle server.
-TEST(Answers, UnreadableReportsAreNone) {
+/// Guards against an unreadable report that passes for the report of an idle server.
+TEST(Answers, UnreadableReportsAreIgnored) {
   std::vector<violetusher::ReportField> fields{violetusher::ReportField::Utilization};
   for (const char* report : {"Lload_share=zz", "L", "Lload_share=1e300", "Lload_share=-4",
                              "Lload_share=nan", "Lother=1"}) {
--- a/tests/net/timers_test.cpp
+++ b/tests/net/timers_test.cpp
@@ -1,4 +1,5 @@
-// Timers against a model that sorts: same order, whatever is set, cancelled and rung in between.
+// Timers against a sorted map as the model: the same order after any sequence of sets, cancels and
+// expiries.
 #include "net/timers.hpp"
 
 #include <gtest/gtest.h>
@@ -11,7 +12,7 @@
 
 using Task = Timers::Task;
 
-TEST(Timers, RingInTheOrderOfTheirTimesAndOfSetting) {
+TEST(Timers, FireInTheOrderOfTimeAndThenOfSetting) {
   Timers timers;
   for (std::uint64_t token : {1, 2, 3}) timers.set(20, {.token = token});
   timers.set(10, {.token = 4});
@@ -24,23 +25,23 @@
   EXPECT_EQ(timers.next(), std::nullopt);
 }
 
-TEST(Timers, ACancelledOneLeavesAtOnceAndItsHandleNamesNoOther) {
+TEST(Timers, AStaleHandleCancelsNoOtherTimer) {
   Timers timers;
   Timers::Handle a = timers.set(10, {.token = 1}), kept = a;
   timers.cancel(a);
   EXPECT_EQ(a, 0u);
   EXPECT_EQ(timers.size(), 0u);
-  Timers::Handle b = timers.set(10, {.token = 2});  // in the same place
+  Timers::Handle b = timers.set(10, {.token = 2});  // reuses the same node
   timers.cancel(kept);
   EXPECT_EQ(timers.size(), 1u);
   Task task;
   ASSERT_TRUE(timers.pop_due(10, task));
   EXPECT_EQ(task.token, 2u);
-  timers.cancel(b);  // has rung
+  timers.cancel(b);  // has fired
   EXPECT_EQ(timers.size(), 0u);
 }
 
-TEST(Timers, KeepWhatAModelKeeps) {
+TEST(Timers, MatchASortedMap) {
   std::mt19937_64 random(20261201);
   Timers timers;
   std::map<std::pair<Micros, std::uint64_t>, Timers::Handle> model;  // by time and order of setting
