--- a/src/net/request_actions.cpp
+++ b/src/net/request_actions.cpp
@@ -14,7 +14,7 @@
 
 }  // namespace
 
-bool RequestCore::describe(RequestId id, violetusher::Request& r) {
+bool RequestCore::describe(RequestId id, violetusher::Request& request) {
   OpenRequest* open = table_.find(id);
   if (!open) return false;
   --open->undelivered_events;
@@ -23,14 +23,14 @@
     return false;
   }
   const Command& c = open->command;
-  r.id = id;
-  r.type = c.type;
-  r.tenant = c.tenant;
-  r.key = c.key;
-  r.remaining = std::max<Micros>(0, open->deadline - deps_.io.now());
-  r.work = c.work;
-  r.repeat = c.repeat;
-  r.write = c.set;
+  request.id = id;
+  request.type = c.type;
+  request.tenant = c.tenant;
+  request.key = c.key;
+  request.remaining = std::max<Micros>(0, open->deadline - deps_.io.now());
+  request.work = c.work;
+  request.repeat = c.repeat;
+  request.write = c.set;
   open->deadline_timer =
       deps_.timers.set(open->deadline, {.kind = Timers::Task::Kind::kDeadline, .token = open->id});
   return true;
@@ -49,28 +49,29 @@
   return !open || open->answered();
 }
 
-void RequestCore::send(const violetusher::Send& a) {
-  OpenRequest* open = table_.find(a.id);
+void RequestCore::send(const violetusher::Send& action) {
+  OpenRequest* open = table_.find(action.id);
   if (!open) return;  // the request is released already: see release_if_done
   int attempt = static_cast<int>(open->attempts.size());
   Micros now = deps_.io.now();
   bool budget_spent = open->traffic && !open->answered() && !within_retry_budget(*open);
-  open->attempts.push_back({.server = a.server, .started_at = now});
+  open->attempts.push_back({.server = action.server, .started_at = now});
   // The request may have been answered before the module was notified of that.
   if (budget_spent || open->answered() || now >= open->deadline) {
     if (!budget_spent && open->answered())
-      record_event(Kind::kAttemptAfterAnswer, a.id, attempt, 0, 0, a.server);
+      record_event(Kind::kAttemptAfterAnswer, action.id, attempt, 0, 0, action.server);
     report_outcome(*open, attempt, Status::NotSent, nullptr);
     return;
   }
   Micros wait = open->deadline - now;
-  if (a.attempt_timeout > 0 && a.attempt_timeout < wait) {
-    wait = a.attempt_timeout;
+  if (action.attempt_timeout > 0 && action.attempt_timeout < wait) {
+    wait = action.attempt_timeout;
     open->attempts.back().timeout = deps_.timers.set(
         now + wait,
         {.kind = Timers::Task::Kind::kAttemptTimeout, .attempt = attempt, .token = open->id});
   }
-  deps_.servers.send(a.server, a.id, attempt, open->command, now + wait, a.send_before);
+  deps_.servers.send(action.server, action.id, attempt, open->command, now + wait,
+                     action.send_before);
 }
 
 /// Asks the retry budget for another attempt. If it denies one and no attempt is in flight, the
@@ -92,41 +93,42 @@
   return false;
 }
 
-void RequestCore::refuse(const violetusher::Refuse& a) {
-  OpenRequest* open = table_.find(a.id);
+void RequestCore::refuse(const violetusher::Refuse& action) {
+  OpenRequest* open = table_.find(action.id);
   if (!open || open->answered()) return;
-  respond(*open, Reply(Reply::Kind::Busy, a.retry_after), Reason::kModule);
+  respond(*open, Reply(Reply::Kind::Busy, action.retry_after), Reason::kModule);
   withdraw_unsent(*open);
   release_if_done(*open);
 }
 
-void RequestCore::fail(const violetusher::Fail& a) {
-  OpenRequest* open = table_.find(a.id);
+void RequestCore::fail(const violetusher::Fail& action) {
+  OpenRequest* open = table_.find(action.id);
   if (!open || open->answered()) return;
   respond(*open, kFailedReply, Reason::kModule);
   withdraw_unsent(*open);
   release_if_done(*open);
 }
 
-void RequestCore::cancel(const violetusher::Cancel& a) {
-  OpenRequest* open = table_.find(a.id);
-  if (!open || a.attempt < 0 || a.attempt >= static_cast<int>(open->attempts.size())) return;
-  Attempt& one = open->attempt(a.attempt);
-  if (!one.in_flight || a.attempt == open->streaming_attempt) return;
-  Status status = deps_.servers.cancel(one.server, a.id, a.attempt);
-  record_event(Kind::kCancelled, a.id, a.attempt, 0, static_cast<std::int64_t>(status), {},
-               Reason::kModule);
-  report_outcome(*open, a.attempt, status, nullptr);
+void RequestCore::cancel(const violetusher::Cancel& action) {
+  OpenRequest* open = table_.find(action.id);
+  if (!open || action.attempt < 0 || action.attempt >= static_cast<int>(open->attempts.size()))
+    return;
+  Attempt& attempt = open->attempt(action.attempt);
+  if (!attempt.in_flight || action.attempt == open->streaming_attempt) return;
+  Status status = deps_.servers.cancel(attempt.server, action.id, action.attempt);
+  record_event(Kind::kCancelled, action.id, action.attempt, 0, static_cast<std::int64_t>(status),
+               {}, Reason::kModule);
+  report_outcome(*open, action.attempt, status, nullptr);
 }
 
 /// A timer of a request is cancelled with the request. Otherwise the module would be called in
 /// vain, and at a high rate most of the timers would wait for deadlines of requests long answered.
-void RequestCore::set_module_timer(std::uint32_t module, const violetusher::Timer& a) {
-  OpenRequest* open = a.request ? table_.find(a.request) : nullptr;
-  if (a.request && !open) return;
-  Timers::Handle timer =
-      deps_.timers.set(deps_.io.now() + a.after,
-                       {.kind = Timers::Task::Kind::kModule, .module = module, .token = a.token});
+void RequestCore::set_module_timer(std::uint32_t module, const violetusher::Timer& action) {
+  OpenRequest* open = action.request ? table_.find(action.request) : nullptr;
+  if (action.request && !open) return;
+  Timers::Handle timer = deps_.timers.set(
+      deps_.io.now() + action.after,
+      {.kind = Timers::Task::Kind::kModule, .module = module, .token = action.token});
   if (open) open->module_timers.push_back(timer);
 }
 
--- a/src/net/request_core.hpp
+++ b/src/net/request_core.hpp
@@ -50,11 +50,11 @@
   void on_alert(std::function<void(const char* what)> alert) { alert_ = std::move(alert); }
 
   // The actions of a decision module.
-  void send(const violetusher::Send& a);
-  void refuse(const violetusher::Refuse& a);
-  void fail(const violetusher::Fail& a);
-  void cancel(const violetusher::Cancel& a);
-  void set_module_timer(std::uint32_t module, const violetusher::Timer& a);
+  void send(const violetusher::Send& action);
+  void refuse(const violetusher::Refuse& action);
+  void fail(const violetusher::Fail& action);
+  void cancel(const violetusher::Cancel& action);
+  void set_module_timer(std::uint32_t module, const violetusher::Timer& action);
 
   /// Fills in what the module is given of a request. Returns false if the request is answered
   /// already.
--- a/src/net/router.cpp
+++ b/src/net/router.cpp
@@ -112,8 +112,8 @@
   invariants_.on_start(operations_.bans_known());
   if (config_.accept_fd < 0) return clients_.listen(*address, error);
   if (!clients_.adopt(config_.accept_fd, error)) return false;
-  // Another process may have served until now. What discovery told it binds this one at once, and
-  // the initial host list may be as old as the first start.
+  // Another process may have served until now. This one must apply at once what discovery sent it,
+  // and the initial host list may be as old as the first start.
   discovery_.fetch();
   return true;
 }
@@ -302,7 +302,7 @@
   while (!feed_.empty()) {
     ModuleEvent& event = feed_.pop();
     std::uint32_t number = std::visit([](const auto& e) { return e.module; }, event);
-    // The module may be gone: removed before its last timer, or before a list was delivered.
+    // The module may have been freed before its last timer, or before a list was delivered.
     if (PoolSet::Module* module = pools_.find(number))
       apply_actions(number, deliver(*module->balancer, event));
     if (auto* e = std::get_if<OutcomeEvent>(&event)) core_.on_event_delivered(e->outcome.id);
