--- a/src/net/timers.hpp
+++ b/src/net/timers.hpp
@@ -1,8 +1,8 @@
-// The router's timers: set, cancelled at once, and rung in the order of their times, those of one
-// time in the order in which they were set. One alarm of the Io stands behind all of them.
+// The router's timers. They can be cancelled at once and fire in the order of their times, those of
+// the same time in the order in which they were set. One alarm of the Io drives all of them.
 //
-// An indexed heap with four children a node. bench/timers.cpp holds it against the lazy heap that
-// was here and against a hashed wheel; docs/design/request-core.md has the figures.
+// An indexed heap with four children per node. bench/timers.cpp compares it with its predecessor, a
+// lazy heap, and with a hashed wheel; docs/design/request-core.md has the figures.
 #pragma once
 
 #include <cstdint>
@@ -13,31 +13,33 @@
 
 namespace violetusher::net {
 
+/// A priority queue of timers with cheap cancellation.
 class Timers {
  public:
-  /// What a timer is for.
+  /// What is done when a timer fires.
   struct Task {
     enum class Kind : std::uint8_t {
-      kModule,   ///< the decision module's
-      kAttempt,  ///< an attempt's patience is over
-      kExpiry,   ///< the client's time is over
-      kLast,     ///< whatever happened, the client gets its answer
+      kModule,          ///< calls the decision module
+      kAttemptTimeout,  ///< ends an attempt at its timeout
+      kDeadline,        ///< ends a request at its deadline
+      kFinalAnswer,     ///< answers a request that its module has left open
     };
     Kind kind = Kind::kModule;
     std::uint32_t module = 0;  ///< of kModule
-    int attempt = 0;           ///< of kAttempt
-    std::uint64_t token = 0;   ///< the module's, or a request's number
+    int attempt = 0;           ///< of kAttemptTimeout
+    std::uint64_t token = 0;   ///< the module's token, or a request's number
   };
-  /// Names a timer that was set; 0 names none.
+  /// Identifies a timer that was set; 0 is none.
   using Handle = std::uint64_t;
 
-  Handle set(Micros at, const Task& due);
-  /// Takes the timer out and sets `handle` to 0. One that has rung, or none, is let be.
+  /// Sets a timer for the time `at`.
+  Handle set(Micros at, const Task& task);
+  /// Removes the timer and sets `handle` to 0. Does nothing if it has fired, or for 0.
   void cancel(Handle& handle);
-  /// When the first one is due.
+  /// The time of the first timer.
   std::optional<Micros> next() const;
-  /// Takes out the first one that is due at `now`; false where there is none.
-  bool pop_due(Micros now, Task& due);
+  /// Removes the first timer that is due at `now`; returns false if there is none.
+  bool pop_due(Micros now, Task& task);
   std::size_t size() const { return heap_.size(); }
 
  private:
@@ -48,14 +50,14 @@
     bool before(const Item& o) const { return at != o.at ? at < o.at : order < o.order; }
   };
   struct Node {
-    Task due;
-    std::uint32_t place = 0;       // in heap_, where it is set
+    Task task;
+    std::uint32_t position = 0;    // in heap_, while set
     std::uint32_t generation = 0;  // odd while set
   };
-  void put(std::size_t place, const Item& item);
-  void rise(std::size_t place, Item item);
-  void sink(std::size_t place, Item item);
-  void remove(std::size_t place);
+  void store(std::size_t position, const Item& item);
+  void sift_up(std::size_t position, Item item);
+  void sift_down(std::size_t position, Item item);
+  void remove(std::size_t position);
 
   std::vector<Item> heap_;
   std::vector<Node> nodes_;
--- a/tests/net/race_test.cpp
+++ b/tests/net/race_test.cpp
@@ -1,5 +1,5 @@
-// What comes between two lines: each crossing of docs/design/crossings.md is forced on real
-// loopback sockets, by a peer that stops at a named point or by a call that is held back.
+// Races between the router and its peers: each race of docs/design/crossings.md is forced on real
+// loopback sockets, by a peer that stops at a given point or by a delayed event.
 #include <sys/resource.h>
 
 #include <chrono>
@@ -16,9 +16,9 @@
   return std::chrono::duration<double>(Steady::now() - then).count();
 }
 
-/// A router whose calls can be held back.
-struct Held {
-  explicit Held(const RouterOptions& options)
+/// A router whose socket events can be delayed.
+struct RouterWithHeldIo {
+  explicit RouterWithHeldIo(const RouterOptions& options)
       : router(options, [this](SystemIo& system) {
           auto held = std::make_unique<HeldIo>(system);
           io = held.get();
@@ -35,7 +35,7 @@
   RunningRouter router;
 };
 
-std::string never(const std::string&, int) { return std::string(); }
+std::string never_answer(const std::string&, int) { return std::string(); }
 
 std::vector<std::string> ids_of(const LineServer& cache) {
   std::vector<std::string> ids;
@@ -45,17 +45,17 @@
 
 using Ids = std::vector<std::string>;
 
-// ---- a client that has closed has gone ----
+// ---- a client that closes has disconnected ----
 
-/// An attempt that waits for its dial when its client closes is not sent, whether or not the
-/// settings allow attempts to be cancelled: it has not begun.
-TEST(ClientGone, AnAttemptThatWaitsForItsDialIsTakenBack) {
+/// Guards against sending an attempt that waits for its dial when its client closes, whether or not
+/// the settings allow attempts to be cancelled: it has not started.
+TEST(ClientGone, AnAttemptThatWaitsForItsDialIsWithdrawn) {
   for (bool may_cancel : {true, false}) {
     LineServer cache(good_cache);
-    Held held({.dials = {cache.address()},
-               .deadline_us = "90000000",
-               .aim_us = "80000000",
-               .may_cancel = may_cancel});
+    RouterWithHeldIo held({.dials = {cache.address()},
+                           .deadline_us = "90000000",
+                           .objective_us = "80000000",
+                           .may_cancel = may_cancel});
     held.hold_dials(true);
     auto client = std::make_unique<Client>(held.router.port());
     client->send(read_command("gone", "k1", "90000"));
@@ -71,13 +71,13 @@
   }
 }
 
-/// The same of an attempt that waits behind others, with the client's end a reset.
+/// The same if the client resets the connection.
 TEST(ClientGone, AResetIsAClose) {
   LineServer cache(good_cache);
-  Held held({.dials = {cache.address()},
-             .deadline_us = "90000000",
-             .aim_us = "80000000",
-             .may_cancel = false});
+  RouterWithHeldIo held({.dials = {cache.address()},
+                         .deadline_us = "90000000",
+                         .objective_us = "80000000",
+                         .may_cancel = false});
   held.hold_dials(true);
   auto client = std::make_unique<Client>(held.router.port());
   client->send(read_command("gone", "k1", "90000"));
@@ -94,14 +94,14 @@
   EXPECT_EQ(ids_of(cache), Ids{"other"});
 }
 
-/// A connection whose pipeline is full is not read, so that nothing shows its end: neither do what
-/// is out go on nor does what waits behind it begin.
+/// Guards against an unseen close: a connection with a full pipeline is not read, yet its close
+/// must end the attempts in flight and keep the deferred commands from starting.
 TEST(ClientGone, IsSeenWhileItsConnectionIsNotRead) {
   LineServer cache([](const std::string& line, int) {
     return id_of(line)[0] == 'g' ? std::string() : value_for(line);
   });
   RunningRouter router(
-      {.dials = {cache.address()}, .deadline_us = "90000000", .aim_us = "80000000"});
+      {.dials = {cache.address()}, .deadline_us = "90000000", .objective_us = "80000000"});
   std::string many;
   for (int k = 0; k < 300; ++k)
     many += read_command("g" + std::to_string(k), "k" + std::to_string(k), "90000");
@@ -121,11 +121,11 @@
   EXPECT_EQ(cache.lines().size(), sent + 1);
 }
 
-/// A command that is read in one go with its client's close is not sent on.
+/// Guards against forwarding a command that is read together with its client's close.
 TEST(ClientGone, BeforeItsCommandIsRead) {
   LineServer cache(good_cache);
   RunningRouter router({.dials = {cache.address()}});
-  router.post([&](Router&) {  // the router's loop stands still meanwhile
+  router.post([&](Router&) {  // blocks the router's loop meanwhile
     for (int k = 0; k < 20; ++k) {
       Client client(router.port());
       client.send(read_command("gone" + std::to_string(k)));
@@ -138,19 +138,20 @@
   EXPECT_EQ(ids_of(cache), Ids{"other"});
 }
 
-// ---- resting connections ----
+// ---- idle client connections ----
 
-/// A request that comes in the very moment in which its resting connection is ended is served.
-TEST(RestingClients, ARequestThatCrossesTheEndIsServed) {
+/// Guards against losing a request that arrives at the moment in which its idle connection is
+/// closed.
+TEST(IdleClients, ARequestThatArrivesDuringTheCloseIsServed) {
   LineServer cache(good_cache);
-  Held held({.dials = {cache.address()}});
+  RouterWithHeldIo held({.dials = {cache.address()}});
   Client client(held.router.port());
   client.send(read_command("first"));
   EXPECT_EQ(client.line(), "VA 5 Ofirst");
   EXPECT_EQ(client.line(), "price");
   held.hold_clients(true);
   client.send(read_command("second"));
-  EXPECT_EQ(client.line(), "VA 5 Osecond");  // the end of its rest looks before it closes
+  EXPECT_EQ(client.line(), "VA 5 Osecond");  // the idle close reads before it closes
   EXPECT_EQ(client.line(), "price");
   held.hold_clients(false);
   EXPECT_EQ(client.read_all(), "");
@@ -158,29 +159,29 @@
   EXPECT_FALSE(client.reset());
 }
 
-/// One that is ended while its client says something is ended cleanly: what crosses is not sent on,
-/// and the client is not reset.
-TEST(RestingClients, AreEndedWithoutAReset) {
+/// Guards against a reset of a client that sends while its idle connection is being closed: the
+/// command is not forwarded and the close is clean.
+TEST(IdleClients, AreClosedWithoutAReset) {
   LineServer cache(good_cache);
   RunningRouter router({.dials = {cache.address()}});
   Client client(router.port());
   client.send(read_command("first"));
   EXPECT_EQ(client.line(), "VA 5 Ofirst");
   EXPECT_EQ(client.line(), "price");
-  EXPECT_EQ(client.line(), "");  // the router has ended its side
+  EXPECT_EQ(client.line(), "");  // the router has shut down its sending side
   EXPECT_TRUE(client.ended());
   client.send(read_command("late"));
   ASSERT_TRUE(router.eventually([](Router& r) { return r.client_connections() == 0; }));
   EXPECT_EQ(ids_of(cache), Ids{"first"});
 }
 
-// ---- repeats and what is told to servers ----
+// ---- retries and the time left that servers are sent ----
 
-/// What has waited for its connection tells the server what is left then, not what was left when it
-/// was decided.
-TEST(TimeTold, IsWhatIsLeftWhenTheAttemptIsWritten) {
+/// Guards against a stale time left: an attempt that has waited for its connection sends what is
+/// left when it is written, not what was left when it was decided.
+TEST(TimeLeft, IsWhatIsLeftWhenTheAttemptIsWritten) {
   LineServer cache(good_cache);
-  Held held({.dials = {cache.address()}, .dial_timeout_us = "5000000"});
+  RouterWithHeldIo held({.dials = {cache.address()}, .dial_timeout_us = "5000000"});
   held.hold_dials(true);
   Client client(held.router.port());
   client.send(read_command("a", "k1", "1500"));
@@ -190,14 +191,15 @@
   held.hold_dials(false);
   EXPECT_EQ(client.line(), "VA 5 Oa");
   std::string line = cache.lines().at(0);
-  int told = std::atoi(line.c_str() + line.find("d=") + 2);
-  EXPECT_LE(told, 1100);
-  EXPECT_GT(told, 0);
+  int sent_ms = std::atoi(line.c_str() + line.find("d=") + 2);
+  EXPECT_LE(sent_ms, 1100);
+  EXPECT_GT(sent_ms, 0);
 }
 
-/// A keyed write that may have run is repeated only while servers remember it. One that waited for
-/// its dial past that is not begun.
-TEST(Repeats, OfAKeyedWriteDoNotBeginBehindTheWindow) {
+/// Guards against a late retry of a keyed write: one that may have run is retried only while
+/// servers remember its key, so an attempt that waited for its dial past that window is not
+/// started.
+TEST(Retries, OfAKeyedWriteDoNotStartAfterItsKeyExpires) {
   std::atomic<int> lines{0};
   auto reply = [&](const std::string& line, int) {
     if (line.rfind("ms ", 0) != 0) return std::string();  // the value
@@ -205,15 +207,15 @@
   };
   LineServer one(reply), two(reply);
   for (bool late : {false, true}) {
-    Held held({.dials = {one.address(), two.address()},
-               .key_ttl_us = "400000",
-               .dial_timeout_us = "5000000"});
+    RouterWithHeldIo held({.dials = {one.address(), two.address()},
+                           .key_ttl_us = "400000",
+                           .dial_timeout_us = "5000000"});
     lines = 0;
     held.hold_dials(true);
     Client client(held.router.port());
     client.send("ms k1 5 Ow Pc=put,t=acme,d=1900,k=r1\r\nhello\r\n");
     ASSERT_TRUE(held.router.eventually([](Router& r) { return r.server_connections() == 1; }));
-    // Lets the first dial through, and holds the next.
+    // Lets the first dial through and delays the next.
     held.hold_dials(false);
     held.hold_dials(true);
     auto since = Steady::now();
@@ -228,35 +230,35 @@
   }
 }
 
-/// Where second copies are not allowed an attempt is over when its server can tell: one that shares
-/// its connection with others that still wait is not, and no other attempt is made meanwhile. Once
-/// all of them are overdue the connection ends, and all are tried elsewhere.
-TEST(Repeats, DoNotBeginWhileTheAttemptGivenUpIsStillOutForItsNeighbours) {
-  std::atomic<int> hangs{-1};
+/// Guards against a second attempt beside one that is in flight where hedging is not allowed: an
+/// attempt on a shared connection is not over while others there still wait. Once all of them have
+/// timed out the connection is closed, and all are retried elsewhere.
+TEST(Retries, DoNotStartWhileATimedOutAttemptSharesItsConnection) {
+  std::atomic<int> stuck_server{-1};
   auto reply = [&](int self) {
-    return [&hangs, self](const std::string& line, int) {
+    return [&stuck_server, self](const std::string& line, int) {
       int none = -1;
-      hangs.compare_exchange_strong(none, self);
-      return hangs == self ? std::string() : value_for(line);
+      stuck_server.compare_exchange_strong(none, self);
+      return stuck_server == self ? std::string() : value_for(line);
     };
   };
   LineServer one(reply(0)), two(reply(1));
   RunningRouter router({.dials = {one.address(), two.address()},
-                        .aim_us = "600000",
+                        .objective_us = "600000",
                         .may_hedge = false,
                         .streams = 4,
                         .routers = 300});  // one connection to each server
   Client first(router.port()), second(router.port());
   first.send(read_command("a", "k1", "1900"));
-  ASSERT_TRUE(router.eventually([&](Router&) { return hangs >= 0; }));
-  const LineServer& stuck = hangs == 0 ? one : two;
-  const LineServer& other = hangs == 0 ? two : one;
+  ASSERT_TRUE(router.eventually([&](Router&) { return stuck_server >= 0; }));
+  const LineServer& stuck = stuck_server == 0 ? one : two;
+  const LineServer& other = stuck_server == 0 ? two : one;
   auto since = Steady::now();
   while (seconds_since(since) < 0.3) std::this_thread::sleep_for(std::chrono::milliseconds(5));
   second.send(read_command("b", "k1", "1900"));
   ASSERT_TRUE(router.eventually([&](Router&) { return stuck.lines().size() == 2; }));
   EXPECT_EQ(stuck.connections(), 1);
-  // The first one's time limit of 0.6 s is over, the second one's not yet.
+  // The first attempt's timeout of 0.6 s has passed, the second one's has not.
   while (seconds_since(since) < 0.75) std::this_thread::sleep_for(std::chrono::milliseconds(5));
   EXPECT_TRUE(other.lines().empty());
   EXPECT_EQ(first.line(), "VA 5 Oa");
@@ -265,28 +267,29 @@
   EXPECT_EQ(other.lines().size(), 2u);
 }
 
-// ---- planned end ----
+// ---- shutdown ----
 
-/// SIGKILL comes 0.7 s after the longest deadline, and no later than 3.7 s after SIGTERM however
-/// long deadlines are: until then every request has its answer, and it can be read.
+/// Guards against requests without a response at SIGKILL, which comes 0.7 s after the longest
+/// deadline and at most 3.7 s after SIGTERM however long deadlines are.
 TEST(Stopping, AnswersBeforeThePlatformKillsWhateverTheDeadline) {
-  LineServer cache(never);
+  LineServer cache(never_answer);
   RunningRouter router(
-      {.dials = {cache.address()}, .deadline_us = "20000000", .aim_us = "15000000"});
+      {.dials = {cache.address()}, .deadline_us = "20000000", .objective_us = "15000000"});
   Client client(router.port());
   client.send(read_command("a", "k1", "19000"));
   ASSERT_TRUE(router.eventually([&](Router&) { return cache.lines().size() == 1; }));
-  auto told = Steady::now();
+  auto stopped_at = Steady::now();
   router.post([](Router& r) { r.stop(); });
   EXPECT_EQ(client.line(), "SERVER_ERROR failed");
-  EXPECT_LT(seconds_since(told), 3.7);
+  EXPECT_LT(seconds_since(stopped_at), 3.7);
 }
 
-/// A client that goes on sending up to the end reads its answer, and no reset takes it along.
-TEST(Stopping, AnswersAreNotTakenAlongByAReset) {
-  LineServer cache(never);
+/// Guards against a reset that discards the response of a client that goes on sending up to the
+/// end.
+TEST(Stopping, AResetDoesNotDiscardAnswers) {
+  LineServer cache(never_answer);
   RunningRouter router(
-      {.dials = {cache.address()}, .deadline_us = "20000000", .aim_us = "15000000"});
+      {.dials = {cache.address()}, .deadline_us = "20000000", .objective_us = "15000000"});
   Client client(router.port());
   std::string noise;
   for (int k = 0; k < 20'000; ++k) noise += "mn\r\n";
@@ -301,62 +304,65 @@
   EXPECT_FALSE(client.reset());
 }
 
-/// Nor does one that says nothing keep the router for its longest time.
-TEST(Stopping, IsNotHeldUpByAClientThatSaysNothing) {
+/// Guards against a silent client that delays the shutdown up to its limit.
+TEST(Stopping, IsNotDelayedByASilentClient) {
   LineServer cache(good_cache);
   RunningRouter router({.dials = {cache.address()}});
   Client silent(router.port()), half(router.port());
   ASSERT_TRUE(router.eventually([](Router& r) { return r.client_connections() == 2; }));
-  auto told = Steady::now();
+  auto stopped_at = Steady::now();
   router.post([](Router& r) { r.stop(); });
   EXPECT_EQ(silent.read_all(), "");
   EXPECT_TRUE(silent.ended());
-  EXPECT_LT(seconds_since(told), 2);  // 0.5 s until it stops listening, and 0.2 s for a first word
+  EXPECT_LT(seconds_since(stopped_at),
+            2);  // 0.5 s until it stops listening, 0.2 s of grace
 }
 
-/// Half a command is waited for, but not past the last moment.
-TEST(Stopping, AHalfCommandEndsWithTheLastMoment) {
+/// Guards against a half command that delays the exit: it is awaited, but not past the end of the
+/// shutdown.
+TEST(Stopping, AHalfCommandIsClosedAtTheLimit) {
   LineServer cache(good_cache);
-  RunningRouter router({.dials = {cache.address()}, .deadline_us = "300000", .aim_us = "200000"});
+  RunningRouter router(
+      {.dials = {cache.address()}, .deadline_us = "300000", .objective_us = "200000"});
   Client half(router.port());
   half.send(read_command("a"));
   EXPECT_EQ(half.line(), "VA 5 Oa");
   EXPECT_EQ(half.line(), "price");
   half.send("mg k1 v Ob Pc=re");
-  auto told = Steady::now();
+  auto stopped_at = Steady::now();
   router.post([](Router& r) { r.stop(); });
   EXPECT_EQ(half.read_all(), "");
   EXPECT_TRUE(half.ended());
   EXPECT_FALSE(half.reset());
-  EXPECT_GT(seconds_since(told), 0.8);  // deadline and 0.6 s
-  EXPECT_LT(seconds_since(told), 1.0);  // SIGKILL
+  EXPECT_GT(seconds_since(stopped_at), 0.8);  // deadline and 0.6 s
+  EXPECT_LT(seconds_since(stopped_at), 1.0);  // SIGKILL
   EXPECT_EQ(ids_of(cache), Ids{"a"});
 }
 
-/// What has come on a connection by the time it is closed was taken, however much it is: all of it
-/// is answered.
-TEST(Stopping, ReadsAllThatHasComeBeforeItCloses) {
+/// Guards against unanswered commands: all that has arrived on a connection by the time it is
+/// closed is answered, however much it is.
+TEST(Stopping, AnswersAllThatArrivedBeforeTheClose) {
   LineServer cache(good_cache);
-  Held held({.dials = {cache.address()}});
+  RouterWithHeldIo held({.dials = {cache.address()}});
   Client client(held.router.port());
   client.send(read_command("first"));
   EXPECT_EQ(client.line(), "VA 5 Ofirst");
   EXPECT_EQ(client.line(), "price");
   held.hold_clients(true);
-  constexpr int kMany = 10'000;  // more than is read at once
+  constexpr int kCommands = 10'000;  // more than one read returns
   std::string many;
-  for (int k = 0; k < kMany; ++k) many += "mn\r\n";
+  for (int k = 0; k < kCommands; ++k) many += "mn\r\n";
   client.send(many + read_command("last"));
   held.router.post([](Router& r) { r.stop(); });
-  for (int k = 0; k < kMany; ++k) ASSERT_EQ(client.line(), "MN");
+  for (int k = 0; k < kCommands; ++k) ASSERT_EQ(client.line(), "MN");
   EXPECT_EQ(client.line(), "VA 5 Olast");
   EXPECT_EQ(client.line(), "price");
   EXPECT_EQ(client.read_all(), "");
   EXPECT_FALSE(client.reset());
 }
 
-/// The second signal changes nothing.
-TEST(Stopping, TwiceIsOnce) {
+/// A second signal changes nothing.
+TEST(Stopping, ASecondSignalChangesNothing) {
   LineServer cache([](const std::string& line, int) { return value_for(line); });
   RunningRouter router({.dials = {cache.address()}});
   for (int k = 0; k < 2; ++k) router.post([](Router& r) { r.stop(); });
@@ -366,11 +372,11 @@
   router.join();
 }
 
-// ---- new settings ----
+// ---- settings updates ----
 
-/// A configuration that can't be used, during the change-over of one that can, changes nothing now
-/// or at its end.
-TEST(Settings, BadOnesDuringAChangeOverChangeNothing) {
+/// Guards against settings that are applied although they are invalid: a bad configuration during
+/// the transition to a good one changes nothing, neither now nor at the end of the transition.
+TEST(Settings, InvalidOnesDuringATransitionChangeNothing) {
   LineServer cache(good_cache);
   RunningRouter router({.dials = {cache.address()}});
   Config good = router.config(), bad = router.config();
@@ -384,7 +390,7 @@
   });
   EXPECT_TRUE(taken);
   EXPECT_TRUE(refused);
-  while (seconds_since(since) < 2)  // the change-over takes 1.5 s
+  while (seconds_since(since) < 2)  // the transition takes 1.5 s
     router.post([](Router&) { std::this_thread::sleep_for(std::chrono::milliseconds(5)); });
   router.post([](Router& r) {
     EXPECT_EQ(r.config().settings.max_attempts, 3);
@@ -395,9 +401,9 @@
   EXPECT_EQ(client.line(), "VA 5 Oa");
 }
 
-/// Another deployment's configuration takes the place of the old one whole: what is gone is served
-/// until the end of the change-over, and means nothing afterwards.
-TEST(Settings, OfAnotherDeploymentReplaceTheOldWhole) {
+/// Guards against leftovers of the previous configuration: what is removed is served until the end
+/// of the transition and is unknown afterwards.
+TEST(Settings, OfAnotherDeploymentLeaveNothingOfTheOld) {
   LineServer cache(good_cache);
   RunningRouter router({.dials = {cache.address()}, .more_tenants = {"beta"}});
   Config other = router.config();
@@ -432,8 +438,9 @@
   });
 }
 
-/// Lists that were asked for are pushed now, or the other way round: calls go by the new terms.
-TEST(Settings, ThatAskForListsOtherwiseAreGoneBy) {
+/// Guards against watches with the timing of the old membership mode after a switch from pushed to
+/// polled lists.
+TEST(Settings, ANewMembershipModeChangesTheWatches) {
   LineServer cache(good_cache);
   std::atomic<int> waits{0};
   LineServer discovery([&](const std::string& line, int) {
@@ -446,7 +453,7 @@
   });
   RunningRouter router({.dials = {cache.address()}, .discovery = discovery.address()});
   ASSERT_TRUE(router.eventually([&](Router&) { return waits > 1; }));
-  EXPECT_LT(waits, 1000);  // pushed: by parts of the grace
+  EXPECT_LT(waits, 1000);  // pushed: fractions of the grace
   Config asked = router.config();
   asked.settings.list_on_demand = true;
   router.post([&](Router& r) { EXPECT_TRUE(r.reload(asked)); });
@@ -455,8 +462,9 @@
 
 // ---- descriptors ----
 
-/// Idle clients take every place they can while discovery is down. Once it is back its list is
-/// heard, servers that it names are reached, and a planned end comes to its end.
+/// Guards against idle clients that leave no descriptors for discovery and servers: they take every
+/// connection they can while discovery is down. Once it is back its list is applied, the servers in
+/// it are reached, and the shutdown completes.
 TEST(Descriptors, OfDiscoveryAndServersAreNotTakenByIdleClients) {
   LineServer old_cache(good_cache), new_cache(good_cache);
   std::atomic<bool> up{false};
@@ -471,8 +479,8 @@
   ::getrlimit(RLIMIT_NOFILE, &before);
   RunningRouter router(
       {.dials = {old_cache.address()}, .discovery = discovery.address(), .sockets = 1024});
-  std::vector<std::unique_ptr<Client>> crowd;
-  for (int k = 0; k < 1500; ++k) crowd.push_back(std::make_unique<Client>(router.port()));
+  std::vector<std::unique_ptr<Client>> idle_clients;
+  for (int k = 0; k < 1500; ++k) idle_clients.push_back(std::make_unique<Client>(router.port()));
   std::size_t clients = 0;
   router.post([&](Router& r) { clients = r.client_connections(); });
   EXPECT_GT(clients, 100u);
@@ -480,7 +488,7 @@
   up = true;
   ASSERT_TRUE(router.eventually([](Router& r) { return r.list_version() == "9"; }));
   for (int k = 0; k < 10; ++k) {
-    for (int n = 0; n < 50; ++n) crowd.push_back(std::make_unique<Client>(router.port()));
+    for (int n = 0; n < 50; ++n) idle_clients.push_back(std::make_unique<Client>(router.port()));
     Client good(router.port());
     good.send(read_command("a" + std::to_string(k)));
     EXPECT_EQ(good.line(), "VA 5 Oa" + std::to_string(k));
