--- a/src/core/membership/start_times.cpp
+++ b/src/core/membership/start_times.cpp
@@ -9,36 +9,38 @@
 namespace {
 
 constexpr Micros kSecond = 1'000'000;
-// A date has whole seconds, and an answer takes time; closer clocks count as equal.
-constexpr Micros kClocksAgree = 3 * kSecond;
-// A server is listed within this of its start. One that is listed later than that, by a router that
-// has heard lists without it, may as well have a start by a clock that is off.
-constexpr Micros kListedWithin = 60 * kSecond;
+// A Date header has whole seconds and a response takes time; clocks closer than this count as
+// equal.
+constexpr Micros kClockTolerance = 3 * kSecond;
+// A server is listed within this time of its start. An older start of a server that earlier
+// responses did not list may come from a clock that is off.
+constexpr Micros kMaxListingDelay = 60 * kSecond;
 
 }  // namespace
 
 void StartTimes::on_response(Micros now, Micros date) {
-  heard_before_ = now_;
-  now_ = now;
-  if (date > 0) ahead_ = std::abs(date - now) > kClocksAgree ? date - now : 0;
+  previous_response_ = last_response_;
+  last_response_ = now;
+  if (date > 0) clock_offset_ = std::abs(date - now) > kClockTolerance ? date - now : 0;
 }
 
-Micros StartTimes::start_of(const std::string& id, Micros born) {
-  if (born == 0 || now_ == 0 || mutant(Mutant::kTrustServerClock)) return born;
-  auto [at, fresh] = known_.try_emplace(id);
-  Known& known = at->second;
-  known.asked = true;
-  if (!fresh && known.born == born) return known.start;
-  Micros start = born - ahead_;
-  bool too_old = heard_before_ > 0 && start < heard_before_ - kListedWithin;
-  known.born = born;
-  known.start = too_old ? now_ : std::min(start, now_);
-  return known.start;
+Micros StartTimes::start_of(const std::string& id, Micros listed_start) {
+  if (listed_start == 0 || last_response_ == 0 || mutant(Mutant::kTrustServerClock))
+    return listed_start;
+  auto [at, fresh] = servers_.try_emplace(id);
+  Entry& entry = at->second;
+  entry.used = true;
+  if (!fresh && entry.listed_start == listed_start) return entry.start;
+  Micros start = listed_start - clock_offset_;
+  bool implausible = previous_response_ > 0 && start < previous_response_ - kMaxListingDelay;
+  entry.listed_start = listed_start;
+  entry.start = implausible ? last_response_ : std::min(start, last_response_);
+  return entry.start;
 }
 
 void StartTimes::forget_unused() {
-  std::erase_if(known_, [](const auto& one) { return !one.second.asked; });
-  for (auto& [id, known] : known_) known.asked = false;
+  std::erase_if(servers_, [](const auto& one) { return !one.second.used; });
+  for (auto& [id, entry] : servers_) entry.used = false;
 }
 
 }  // namespace violetusher::core::membership
--- a/src/core/membership/start_times.hpp
+++ b/src/core/membership/start_times.hpp
@@ -1,7 +1,6 @@
-// When servers started, by the router's own clock. A list names starts in Unix time, by a clock
-// that may be an hour off this one: what is impossible is not believed, and a server whose start
-// can't be known counts as started now, so that slow start errs to the careful side. No I/O and no
-// clock.
+// Start times of servers by the router's own clock. A list carries Unix times of a clock that may
+// be an hour off: impossible times are rejected, and a server with an unknown start time counts as
+// started now, so that slow start errs on the safe side. No I/O and no clock.
 #pragma once
 
 #include <cstdint>
@@ -12,25 +11,27 @@
 
 using Micros = std::int64_t;
 
+/// Converts the start times of a host list to the router's clock.
 class StartTimes {
  public:
-  /// An answer of discovery came at `now`, with discovery's Unix time `date` in it; 0 where it told
-  /// none. From here on starts are taken over; before, of() gives what it is told.
+  /// Records a response of discovery that came at `now` with discovery's Unix time `date` in it; 0
+  /// if it had none. Before the first call, start_of() returns listed times unchanged.
   void on_response(Micros now, Micros date);
-  /// The start, by the router's clock, of the server that is listed with `born`; 0 for long ago.
-  /// The same for the same two as long as it is asked for now and then.
-  Micros start_of(const std::string& id, Micros born);
-  /// Lets go of servers that were not asked for since the call before.
+  /// Returns the start, by the router's clock, of the server that is listed with `listed_start`; 0
+  /// means long ago. The same arguments give the same result as long as forget_unused() has not
+  /// dropped the server.
+  Micros start_of(const std::string& id, Micros listed_start);
+  /// Drops the servers that were not asked for since the previous call.
   void forget_unused();
 
  private:
-  struct Known {
-    Micros born = 0, start = 0;
-    bool asked = true;
+  struct Entry {
+    Micros listed_start = 0, start = 0;
+    bool used = true;
   };
-  std::unordered_map<std::string, Known> known_;
-  Micros now_ = 0, heard_before_ = 0;
-  Micros ahead_ = 0;  // discovery's clock over this one
+  std::unordered_map<std::string, Entry> servers_;
+  Micros last_response_ = 0, previous_response_ = 0;
+  Micros clock_offset_ = 0;  // how far discovery's clock is ahead of this one
 };
 
 }  // namespace violetusher::core::membership
--- a/src/core/membership/watch_scheduler.cpp
+++ b/src/core/membership/watch_scheduler.cpp
@@ -8,26 +8,27 @@
 namespace {
 
 constexpr Micros kSecond = 1'000'000;
-// A watch that has not ended with its wait is kept for so long beside the call that brings what it
+// How long a watch without an end after its wait is kept beside the call that fetches what it
 // missed.
-constexpr Micros kKeepOverdue = 3 * kSecond;
-// Whole lists in a row, each asked for anew, that are older than what is held, after which
-// discovery is taken to count from anew, as one that was restored does.
-constexpr int kOlderBelieved = 3;
-// After this a doubted list is asked for again, and believed: changes reach discovery in seconds.
-constexpr Micros kConfirm = 30 * kSecond;
-constexpr int kMostDoublings = 8;
-// Single fetches: an answer has this long, whatever watches are given, and so many are tried.
-constexpr Micros kFetchLimit = 3 * kSecond + kSecond / 2;
-// The list of a discovery that has just been moved to counts as told in 4 s, and the first call may
-// be lost: after this a second one is made beside it, which may wait for its turn meanwhile.
-constexpr Micros kDoubleWhole = 2 * kSecond;
-constexpr int kFetchTries = 5;
-// After so many failures in a row a router that insists also asks with kFetchLimit, as an agent
-// that is slow would else never be heard.
-constexpr int kSlowAfter = 4;
-// A watch goes on where its next call comes within 200 ms of the last answer.
-constexpr Micros kIdlePause = kSecond / 10;
+constexpr Micros kOverdueGrace = 3 * kSecond;
+// After this many consecutive full lists that are older than the one in use, each requested
+// separately, the version count of discovery is taken to have restarted, as after a restore.
+constexpr int kOlderListsToAccept = 3;
+// An unconfirmed list is requested again after this and then trusted: changes reach discovery
+// within seconds.
+constexpr Micros kConfirmationDelay = 30 * kSecond;
+constexpr int kMaxDoublings = 8;
+// Single fetches: the response timeout, whatever the timing of watches, and the number of tries.
+constexpr Micros kFetchTimeout = 3 * kSecond + kSecond / 2;
+// The list of a discovery at a new address counts as notified after 4 s, and the first call may be
+// lost: a second one is made beside it after this, as the first may still be queued.
+constexpr Micros kSecondCallDelay = 2 * kSecond;
+constexpr int kMaxFetchTries = 5;
+// A router that always retries also fetches with kFetchTimeout at each multiple of this many
+// consecutive failures; a slow agent would otherwise never be able to respond in time.
+constexpr int kFailuresPerFetch = 4;
+// A watch counts as continued if its next call comes within 200 ms of the last response.
+constexpr Micros kUnheldWatchInterval = kSecond / 10;
 
 std::optional<std::uint64_t> number(const std::string& text) {
   std::uint64_t value = 0;
@@ -44,74 +45,77 @@
   return *x < *y ? -1 : *x > *y;
 }
 
-WatchScheduler::WatchScheduler(Port& port, const WatchTiming& terms, const std::string& held,
+WatchScheduler::WatchScheduler(Port& port, const WatchTiming& timing, const std::string& version,
                                std::uint64_t seed)
-    : port_(port), terms_(terms), held_(held), index_(held), rng_(seed) {}
+    : port_(port), timing_(timing), version_(version), watch_version_(version), rng_(seed) {}
 
-Micros WatchScheduler::drawn(Micros from, Micros to) {
+Micros WatchScheduler::random_between(Micros from, Micros to) {
   rng_ = rng_ * 6364136223846793005ULL + 1442695040888963407ULL;  // Knuth's MMIX generator
   double part = static_cast<double>(rng_ >> 40) / static_cast<double>(1 << 24);
   return from + static_cast<Micros>(part * static_cast<double>(to - from));
 }
 
-void WatchScheduler::open(Place place, Micros now, Micros wait) {
+void WatchScheduler::start_call(Place place, Micros now, Micros wait) {
   Call& call = calls_[place];
-  if (index_.empty() || place == kFetch) wait = 0;
-  // Nor are those that end in silence to be made up for together.
-  if (wait > kAtOnce) wait = drawn(wait - (terms_.renew_to - terms_.renew_from), wait);
-  call.out = true;
+  if (watch_version_.empty() || place == kFetch) wait = 0;
+  // Jitter the wait as well, so that the calls after silent watches do not coincide either.
+  if (wait > kImmediateWait)
+    wait = random_between(wait - (timing_.max_renewal_age - timing_.min_renewal_age), wait);
+  call.in_flight = true;
   call.overdue = false;
-  call.began = now;
+  call.started = now;
   call.wait = wait;
-  call.ends = now + wait +
-              (place == kFetch  ? kFetchLimit
-               : wait > kAtOnce ? terms_.limit
-                                : terms_.limit_at_once);
-  call.renew = 0;
-  if (wait > kAtOnce && terms_.renew_to > 0)
-    call.renew = now + drawn(terms_.renew_from, terms_.renew_to);
-  if (index_.empty() && place != kFetch && !terms_.always_retries) call.renew = now + kDoubleWhole;
-  call.lists = lists_;
-  ++made_;
-  port_.start(place, place == kFetch ? std::string() : index_, wait);
+  call.deadline = now + wait +
+                  (place == kFetch         ? kFetchTimeout
+                   : wait > kImmediateWait ? timing_.response_timeout
+                                           : timing_.immediate_response_timeout);
+  call.renew_at = 0;
+  if (wait > kImmediateWait && timing_.max_renewal_age > 0)
+    call.renew_at = now + random_between(timing_.min_renewal_age, timing_.max_renewal_age);
+  if (watch_version_.empty() && place != kFetch && !timing_.always_retries)
+    call.renew_at = now + kSecondCallDelay;
+  call.lists_applied = lists_applied_;
+  ++calls_made_;
+  port_.start(place, place == kFetch ? std::string() : watch_version_, wait);
 }
 
 void WatchScheduler::cancel(Place place) {
-  if (!calls_[place].out) return;
-  calls_[place].out = false;
+  if (!calls_[place].in_flight) return;
+  calls_[place].in_flight = false;
   port_.cancel(place);
 }
 
-/// Another call of the watch, beside those that are out.
-void WatchScheduler::begin(Micros now, Micros wait) {
+/// Starts another call of the watch beside those in flight.
+void WatchScheduler::start_watch_call(Micros now, Micros wait) {
   retry_at_ = 0;
-  auto freer = [&](int a, int b) {
-    return calls_[a].out != calls_[b].out ? !calls_[a].out
-                                          : calls_[a].out && calls_[a].began < calls_[b].began;
+  auto is_better = [&](int a, int b) {
+    return calls_[a].in_flight != calls_[b].in_flight
+               ? !calls_[a].in_flight
+               : calls_[a].in_flight && calls_[a].started < calls_[b].started;
   };
   newest_ = kWatch0;
   for (Place place : {kWatch1, kWatch2})
-    if (freer(place, newest_)) newest_ = place;
+    if (is_better(place, newest_)) newest_ = place;
   cancel(newest_);
-  open(newest_, now, wait);
+  start_call(newest_, now, wait);
 }
 
 void WatchScheduler::fetch(Micros now) {
   fetch_failures_ = 0;
-  ask_whole(now);
+  request_full_list(now);
 }
 
-void WatchScheduler::ask_whole(Micros now) {
+void WatchScheduler::request_full_list(Micros now) {
   fetch_at_ = 0;
   cancel(kFetch);
-  open(kFetch, now, 0);
+  start_call(kFetch, now, 0);
 }
 
 void WatchScheduler::change_address(Micros now) {
   stop();
-  index_.clear();
-  moved_ = true;
-  older_ = failures_ = 0;
+  watch_version_.clear();
+  address_changed_ = true;
+  older_lists_ = failures_ = 0;
   watch(now);
 }
 
@@ -120,119 +124,126 @@
   retry_at_ = fetch_at_ = 0;
 }
 
-Micros WatchScheduler::pause(int failures) {
-  Micros mean = std::min(terms_.pause << std::min(failures, kMostDoublings), terms_.pause_most);
-  return drawn(mean / 2, mean + mean / 2);
+Micros WatchScheduler::retry_delay(int failures) {
+  Micros mean =
+      std::min(timing_.retry_delay << std::min(failures, kMaxDoublings), timing_.max_retry_delay);
+  return random_between(mean / 2, mean + mean / 2);
 }
 
-void WatchScheduler::retry(Micros now) {
-  retry_at_ = now + pause(failures_++);
-  if (terms_.always_retries && failures_ % kSlowAfter == 0 && !calls_[kFetch].out) fetch(now);
+void WatchScheduler::schedule_retry(Micros now) {
+  retry_at_ = now + retry_delay(failures_++);
+  if (timing_.always_retries && failures_ % kFailuresPerFetch == 0 && !calls_[kFetch].in_flight)
+    fetch(now);
 }
 
-/// The call has failed, or nothing came of it.
-void WatchScheduler::lost(Place place, Micros now) {
-  calls_[place].out = false;
+/// Handles a call that failed or brought nothing usable.
+void WatchScheduler::on_call_failed(Place place, Micros now) {
+  calls_[place].in_flight = false;
   if (place == kFetch) {
-    if (++fetch_failures_ < kFetchTries) fetch_at_ = now + pause(fetch_failures_);
+    if (++fetch_failures_ < kMaxFetchTries) fetch_at_ = now + retry_delay(fetch_failures_);
     return;
   }
-  if (place == newest_ && (terms_.always_retries || any_watch())) {
-    retry(now);
-  } else if (calls_[newest_].out) {
-    // What ended an older one may have silenced the newest as well, and from here what that misses
-    // counts as told long before it is renewed.
-    if (calls_[newest_].wait > kAtOnce) watch(now);
-  } else if (!any_watch()) {
+  if (place == newest_ && (timing_.always_retries || has_watch())) {
+    schedule_retry(now);
+  } else if (calls_[newest_].in_flight) {
+    // Whatever ended an older call may have silenced the newest one too, and what that one misses
+    // counts as notified long before it is renewed.
+    if (calls_[newest_].wait > kImmediateWait) watch(now);
+  } else if (!has_watch()) {
     retry_at_ = 0;
     port_.on_watch_lost();
   }
 }
 
-/// Answers come out of order, and an old one must bring nobody back. Versions that are no numbers
-/// are compared by when their calls were made.
-ListDecision WatchScheduler::judge(const Call& call, Micros now, const ListResponse& answer) {
-  auto order = compare_versions(answer.version, held_);
-  bool older = order ? *order < 0 : answer.whole && call.lists != lists_;
+/// Decides whether a list is applied. Responses arrive out of order, and an old one must not bring
+/// removed servers back. Versions that are not numbers are ordered by when their calls were made.
+ListDecision WatchScheduler::evaluate(const Call& call, Micros now, const ListResponse& answer) {
+  auto order = compare_versions(answer.version, version_);
+  bool older = order ? *order < 0 : answer.whole && call.lists_applied != lists_applied_;
   if (!older) {
-    older_ = 0;
-    moved_ = false;
+    older_lists_ = 0;
+    address_changed_ = false;
     return ListDecision::kApply;
   }
-  // An answer that was overtaken by another; or discovery itself is behind.
-  if (!moved_ && (!order || call.lists != lists_)) return ListDecision::kIgnore;
+  // Either a newer response overtook this one, or discovery itself is behind.
+  if (!address_changed_ && (!order || call.lists_applied != lists_applied_))
+    return ListDecision::kIgnore;
   if (!answer.whole) {
-    index_.clear();  // the next call shows all of what it has
+    watch_version_.clear();  // the next call shows everything that discovery has
     return ListDecision::kIgnore;
   }
-  if (!moved_ && ++older_ < kOlderBelieved) return ListDecision::kIgnore;
-  older_ = 0;
-  moved_ = false;
+  if (!address_changed_ && ++older_lists_ < kOlderListsToAccept) return ListDecision::kIgnore;
+  older_lists_ = 0;
+  address_changed_ = false;
   fetch_failures_ = 0;
-  fetch_at_ = now + kConfirm;
+  fetch_at_ = now + kConfirmationDelay;
   return ListDecision::kApplyUnconfirmed;
 }
 
 ListDecision WatchScheduler::on_response(Place place, Micros now, const ListResponse& answer) {
   Call& call = calls_[place];
-  if (!std::exchange(call.out, false)) return ListDecision::kIgnore;
-  bool wanted = answer.list && (place != kFetch || answer.whole);
-  ListDecision take = wanted ? judge(call, now, answer) : ListDecision::kIgnore;
-  // One that answers at once though nothing is new does not hold watches, and would be asked in a
-  // busy loop.
+  if (!std::exchange(call.in_flight, false)) return ListDecision::kIgnore;
+  bool usable = answer.list && (place != kFetch || answer.whole);
+  ListDecision decision = usable ? evaluate(call, now, answer) : ListDecision::kIgnore;
+  // A discovery that responds at once without news does not hold watches; calling it again at once
+  // would be a busy loop.
   Micros wait = call.wait;
-  bool idle = answer.version == held_ && call.lists == lists_ && wait > kAtOnce &&
-              now - call.began < wait / 2;
-  if (take != ListDecision::kIgnore) ++lists_;
-  // A list of which a part can't be used is not held as that version: it is asked for again.
-  if (take != ListDecision::kIgnore && answer.sound) held_ = index_ = answer.version;
-  bool behind = wanted && take == ListDecision::kIgnore &&
-                compare_versions(answer.version, held_).has_value() && call.lists == lists_;
-  if (!wanted || !answer.sound || behind) {
-    lost(place, now);
-    return take;
+  bool idle = answer.version == version_ && call.lists_applied == lists_applied_ &&
+              wait > kImmediateWait && now - call.started < wait / 2;
+  if (decision != ListDecision::kIgnore) ++lists_applied_;
+  // A list with unusable entries does not set the version: it is requested again.
+  if (decision != ListDecision::kIgnore && answer.sound) version_ = watch_version_ = answer.version;
+  bool behind = usable && decision == ListDecision::kIgnore &&
+                compare_versions(answer.version, version_).has_value() &&
+                call.lists_applied == lists_applied_;
+  if (!usable || !answer.sound || behind) {
+    on_call_failed(place, now);
+    return decision;
   }
-  heard_at_ = now;
-  if (place == kFetch) return take;
+  last_response_at_ = now;
+  if (place == kFetch) return decision;
   failures_ = 0;
-  bool at_once = call.wait <= kAtOnce;
-  // What was out before may be silent, and has missed nothing that this one did not bring.
-  if (at_once)
+  bool immediate = call.wait <= kImmediateWait;
+  // Calls started before this one may be silent, and have missed nothing that this response did not
+  // bring.
+  if (immediate)
     for (Place other : {kWatch0, kWatch1, kWatch2})
-      if (calls_[other].out && calls_[other].began < call.began) cancel(other);
-  bool later = place != newest_ && calls_[newest_].out;
-  if (later && !(at_once && calls_[newest_].wait <= kAtOnce)) return take;  // the newest goes on
-  // The next call at once: a watch with gaps is a new one.
+      if (calls_[other].in_flight && calls_[other].started < call.started) cancel(other);
+  bool later = place != newest_ && calls_[newest_].in_flight;
+  if (later && !(immediate && calls_[newest_].wait <= kImmediateWait))
+    return decision;  // the newest call continues the watch
+  // The next call follows at once: discovery treats a watch with gaps as a new one.
   newest_ = place;
-  retry_at_ = idle ? now + kIdlePause : 0;
-  if (!idle) open(place, now, terms_.wait);
-  return take;
+  retry_at_ = idle ? now + kUnheldWatchInterval : 0;
+  if (!idle) start_call(place, now, timing_.wait);
+  return decision;
 }
 
 void WatchScheduler::run_due(Micros now) {
   for (Place place : {kWatch0, kWatch1, kWatch2, kFetch}) {
     Call& call = calls_[place];
-    if (!call.out || now < call.ends) continue;
-    if (call.wait > kAtOnce && !call.overdue && !terms_.always_retries) {
+    if (!call.in_flight || now < call.deadline) continue;
+    if (call.wait > kImmediateWait && !call.overdue && !timing_.always_retries) {
       call.overdue = true;
-      call.ends = now + kKeepOverdue;
-      if (!calls_[newest_].out || calls_[newest_].wait > kAtOnce) watch(now);
+      call.deadline = now + kOverdueGrace;
+      if (!calls_[newest_].in_flight || calls_[newest_].wait > kImmediateWait) watch(now);
       continue;
     }
     cancel(place);
-    lost(place, now);
+    on_call_failed(place, now);
   }
-  if (calls_[newest_].out && calls_[newest_].renew > 0 && now >= calls_[newest_].renew) {
-    calls_[newest_].renew = 0;
-    begin(now, terms_.wait);
+  if (calls_[newest_].in_flight && calls_[newest_].renew_at > 0 &&
+      now >= calls_[newest_].renew_at) {
+    calls_[newest_].renew_at = 0;
+    start_watch_call(now, timing_.wait);
   }
   if (retry_at_ > 0 && now >= retry_at_) {
     retry_at_ = 0;
     bool silence = std::any_of(calls_.begin(), calls_.end(),
-                               [](const Call& call) { return call.out && call.overdue; });
-    open(newest_, now, silence ? kAtOnce : terms_.wait);
+                               [](const Call& call) { return call.in_flight && call.overdue; });
+    start_call(newest_, now, silence ? kImmediateWait : timing_.wait);
   }
-  if (fetch_at_ > 0 && now >= fetch_at_) ask_whole(now);
+  if (fetch_at_ > 0 && now >= fetch_at_) request_full_list(now);
 }
 
 std::optional<Micros> WatchScheduler::next_due() const {
@@ -241,8 +252,8 @@
     if (time > 0) first = first ? std::min(*first, time) : time;
   };
   for (const Call& call : calls_)
-    if (call.out) at(call.ends);
-  if (calls_[newest_].out) at(calls_[newest_].renew);
+    if (call.in_flight) at(call.deadline);
+  if (calls_[newest_].in_flight) at(calls_[newest_].renew_at);
   at(retry_at_);
   at(fetch_at_);
   return first;
--- a/src/core/membership/watch_scheduler.hpp
+++ b/src/core/membership/watch_scheduler.hpp
@@ -1,12 +1,13 @@
-// The calls that one router has out at discovery: when each is made, given up and made anew, and
-// which answers count. No I/O and no clock: times come in, in microseconds, and must not run
+// Schedules one router's calls to discovery: when each is made, cancelled and repeated, and which
+// responses are applied. No I/O and no clock: times come in as microseconds and must not run
 // backwards; calls go out through Port.
 //
-// A watch may fall silent without an end, and that can't be told from one that waits. So a watch is
-// renewed by a second one beside it long before its wait is over, and the older goes on to its own
-// end: in quiet no call is given up, as that would start the clock by which what is missed counts
-// as told. An older one that has no end when it should shows silence, and the newer may be as
-// silent: a call that is answered at once brings what was missed, and only then are they let go.
+// A watch may fall silent without an end, which looks the same as one that still waits. Each watch
+// is therefore renewed by a second one long before its wait is over, and the older one runs to its
+// own end: no call is cancelled in normal operation, as a cancelled call starts the notification
+// deadline for what it missed. An older watch that has no end when it should shows that the
+// connection is silent, and the newer watch may be as silent. An immediate call then fetches what
+// was missed, and only after its response are the others cancelled.
 #pragma once
 
 #include <array>
@@ -18,112 +19,118 @@
 
 namespace violetusher::core::membership {
 
-/// Compares two versions of a list. Nothing where they are no numbers: then nothing is known.
+/// Compares two list versions: below 0, 0 or above 0. Nothing if one of them is not a number, as
+/// the order is unknown then.
 std::optional<int> compare_versions(const std::string& a, const std::string& b);
 
-/// What an answer was.
+/// The result of one call to discovery.
 struct ListResponse {
-  bool sound = false;  ///< a list, and all of its entries could be used
-  bool list = false;   ///< a list, though some entries may not be usable
+  bool sound = false;  ///< a list of which every entry is usable
+  bool list = false;   ///< a list, of which some entries may be unusable
   std::string version;
   bool whole = false;
 };
 
-/// What is to be done with an answer's list.
+/// What the router does with the list of a response.
 enum class ListDecision {
   kIgnore,
   kApply,
-  /// Discovery counts from anew, and may know less than what is held: whoever was told to leave
-  /// stays so where the list says otherwise.
+  /// The version count restarted, so discovery may know less than the router: servers that are
+  /// known to be removed stay so where the list says otherwise.
   kApplyUnconfirmed,
 };
 
+/// The calls to discovery of one router. Its owner reports responses and calls run_due().
 class WatchScheduler {
  public:
-  /// The places of a watch (one that ends, one that waits, one that brings what they missed), and
-  /// the one of single fetches.
+  /// Slots of calls: three of a watch (one that ends, one that waits, one that fetches what they
+  /// missed), and one of single fetches.
   enum Place { kWatch0, kWatch1, kWatch2, kFetch, kPlaces };
 
+  /// Sends and cancels calls for the scheduler.
   class Port {
    public:
     virtual ~Port() = default;
-    /// Asks for what changed since `version`, or for the whole list where it is empty; discovery
-    /// may hold the call for `wait`.
+    /// Requests the changes since `version`, or the full list if it is empty; discovery may hold
+    /// the call for `wait`.
     virtual void start(Place place, const std::string& version, Micros wait) = 0;
-    /// The call is not wanted any more.
+    /// Cancels the call of the slot.
     virtual void cancel(Place place) = 0;
-    /// No watch is out and none will be made until watch(). Called last.
+    /// No watch is in flight and none will be started until watch(). Called last.
     virtual void on_watch_lost() = 0;
   };
 
-  /// `held`: the version of the list that the router starts with. `seed`: of what is drawn.
-  WatchScheduler(Port& port, const WatchTiming& terms, const std::string& held, std::uint64_t seed);
+  /// `version` is that of the list that the router starts with; `seed` is of the jitter.
+  WatchScheduler(Port& port, const WatchTiming& timing, const std::string& version,
+                 std::uint64_t seed);
 
-  /// Other terms from now on; false where they are the same. Calls that are out keep theirs.
-  bool set_timing(const WatchTiming& terms) {
-    if (terms == terms_) return false;
-    terms_ = terms;
+  /// Changes the timing; returns false if it is the same. Calls in flight keep theirs.
+  bool set_timing(const WatchTiming& timing) {
+    if (timing == timing_) return false;
+    timing_ = timing;
     return true;
   }
-  /// Begins a watch. The first call of it returns at once, so that it is known that discovery
-  /// answers; watches that are out are let go then.
-  void watch(Micros now) { begin(now, kAtOnce); }
-  /// Asks for the whole list, besides; a few times where that fails.
+  /// Starts a watch. Its first call returns at once, which shows that discovery responds; then the
+  /// watches in flight are cancelled.
+  void watch(Micros now) { start_watch_call(now, kImmediateWait); }
+  /// Requests the full list beside the watch, with a bounded number of tries.
   void fetch(Micros now);
-  /// Discovery is at another address: begins there with the whole list. What the versions there
-  /// mean is not known.
+  /// Discovery moved to another address: starts there with the full list. Versions of the two
+  /// addresses can't be compared.
   void change_address(Micros now);
   void stop();
 
-  /// A call has its answer; `answer.list` is false where it failed in any way.
+  /// Handles the end of a call; `answer.list` is false if it failed in any way.
   ListDecision on_response(Place place, Micros now, const ListResponse& answer);
-  /// What is due is done. Call at next(), or later.
+  /// Does everything that is due. Call it at next_due() or later.
   void run_due(Micros now);
-  /// When something is due; nothing where no call is out and none is to be made.
+  /// The time of the next run_due(); nothing if no call is in flight or planned.
   std::optional<Micros> next_due() const;
 
-  /// When an answer last showed what the list is, or the start.
-  Micros last_response_at() const { return heard_at_; }
-  void set_started(Micros now) { heard_at_ = now; }
-  /// Of the list in use.
-  const std::string& version() const { return held_; }
+  /// When a response last confirmed the list, or the start.
+  Micros last_response_at() const { return last_response_at_; }
+  void set_started(Micros now) { last_response_at_ = now; }
+  /// Version of the list in use.
+  const std::string& version() const { return version_; }
   /// Calls made since the start.
-  std::uint64_t calls_made() const { return made_; }
+  std::uint64_t calls_made() const { return calls_made_; }
 
  private:
-  // The wait of the first call of a watch.
-  static constexpr Micros kAtOnce = 1000;
+  // Wait of the first call of a watch.
+  static constexpr Micros kImmediateWait = 1000;
   struct Call {
-    bool out = false;
-    bool overdue = false;                             // its wait is over, and it has not ended
-    Micros began = 0, wait = 0, ends = 0, renew = 0;  // renew 0: never
-    std::uint64_t lists = 0;                          // taken before it began
+    bool in_flight = false;
+    bool overdue = false;  // its wait is over without a response
+    Micros started = 0, wait = 0, deadline = 0, renew_at = 0;  // renew_at 0: never
+    std::uint64_t lists_applied = 0;                           // lists applied before it started
   };
-  Micros drawn(Micros from, Micros to);
-  void open(Place place, Micros now, Micros wait);
-  void begin(Micros now, Micros wait);
-  bool any_watch() const { return calls_[0].out || calls_[1].out || calls_[2].out; }
-  void ask_whole(Micros now);
+  Micros random_between(Micros from, Micros to);
+  void start_call(Place place, Micros now, Micros wait);
+  void start_watch_call(Micros now, Micros wait);
+  bool has_watch() const {
+    return calls_[0].in_flight || calls_[1].in_flight || calls_[2].in_flight;
+  }
+  void request_full_list(Micros now);
   void cancel(Place place);
-  void lost(Place place, Micros now);
-  Micros pause(int failures);
-  void retry(Micros now);
-  ListDecision judge(const Call& call, Micros now, const ListResponse& answer);
+  void on_call_failed(Place place, Micros now);
+  Micros retry_delay(int failures);
+  void schedule_retry(Micros now);
+  ListDecision evaluate(const Call& call, Micros now, const ListResponse& answer);
 
   Port& port_;
-  WatchTiming terms_;
-  std::string held_;   // the version in use, whatever discovery it came from
-  std::string index_;  // what a watch names; empty: the whole list is asked for
+  WatchTiming timing_;
+  std::string version_;        // version in use, whichever discovery it came from
+  std::string watch_version_;  // version that a watch names; empty: request the full list
   std::array<Call, kPlaces> calls_;
-  Place newest_ = kWatch0;  // of the watches
-  Micros retry_at_ = 0;     // the newest is begun again; 0: not
-  Micros fetch_at_ = 0;     // the whole list is asked for (again); 0: not
-  Micros heard_at_ = 0;
-  int failures_ = 0;        // of watches in a row
-  int fetch_failures_ = 0;  // of the whole list that was last wanted
-  int older_ = 0;           // whole lists in a row that are older than what is held
-  bool moved_ = false;      // no list of this discovery was taken yet
-  std::uint64_t lists_ = 0, made_ = 0, rng_;
+  Place newest_ = kWatch0;  // the newest watch slot
+  Micros retry_at_ = 0;     // when the newest watch is restarted; 0: not planned
+  Micros fetch_at_ = 0;     // when the full list is requested; 0: not planned
+  Micros last_response_at_ = 0;
+  int failures_ = 0;              // consecutive failures of watches
+  int fetch_failures_ = 0;        // failures of the current fetch of the full list
+  int older_lists_ = 0;           // consecutive full lists that are older than the one in use
+  bool address_changed_ = false;  // no list of the new address has been applied yet
+  std::uint64_t lists_applied_ = 0, calls_made_ = 0, rng_;
 };
 
 }  // namespace violetusher::core::membership
--- a/src/core/membership/watch_timing.hpp
+++ b/src/core/membership/watch_timing.hpp
@@ -1,6 +1,6 @@
-// When a router asks discovery, and how long it waits for it: worked out from the settings and from
-// what PROTOCOL and FLEET say of when a change counts as told. The table with every row and its
-// margin is docs/design/membership.md. Times are in microseconds.
+// Timing of the calls to discovery, derived from the settings and from the notification deadlines
+// that PROTOCOL and FLEET define. docs/design/membership.md lists each case with its margin. Times
+// are in microseconds.
 #pragma once
 
 #include <cstdint>
@@ -9,42 +9,45 @@
 
 using Micros = std::int64_t;
 
-/// What the terms of service say, wherever lists come from.
-struct Told {
-  /// What a call that waits misses counts as told so long after its wait is over, arrived or not.
+/// When the router counts as notified of a change, whether lists are polled or pushed.
+struct NotificationDelay {
+  /// A change that a waiting call misses counts as notified this long after the end of its wait,
+  /// whether or not the response arrived.
   static constexpr Micros kAfterWait = 2'000'000;
-  /// And what any call misses no sooner than this after it fell silent.
+  /// A change that any call misses counts as notified no sooner than this after the call fell
+  /// silent.
   static constexpr Micros kAfterSilence = 6'000'000;
-  /// After a call that failed, was refused or was given up, so long after discovery had it and
-  /// could be reached, whatever else is allowed.
+  /// After a call that failed, was refused or was cancelled, a change counts as notified this long
+  /// after discovery had it and was reachable, whatever the other rules allow.
   static constexpr Micros kAfterFailure = 6'000'000;
 };
 
-/// How one router calls.
+/// The call timing of one router.
 struct WatchTiming {
-  Micros wait = 0;           ///< that discovery is asked to hold a watch for
-  Micros limit = 0;          ///< a call that has no answer so long after its wait is given up
-  Micros limit_at_once = 0;  ///< the same of one that does not wait
-  /// A further watch is begun beside one that has waited so long, drawn evenly between the two, so
-  /// that routers whose watches began together do not renew them together. 0: never.
-  Micros renew_from = 0, renew_to = 0;
-  /// After a failed call the next comes after this, times 0.5 to 1.5, doubled with each failure in
-  /// a row up to pause_most.
-  Micros pause = 0, pause_most = 0;
-  /// Whether this is to go on after failures of itself; else the module says when to watch again.
+  Micros wait = 0;              ///< how long discovery is asked to hold a watch
+  Micros response_timeout = 0;  ///< a call without a response this long after its wait has failed
+  Micros immediate_response_timeout = 0;  ///< the same for a call that does not wait
+  /// A second watch is started beside one of this age, drawn evenly between the two values so that
+  /// routers whose watches started together do not renew them together. 0: never.
+  Micros min_renewal_age = 0, max_renewal_age = 0;
+  /// Delay of the next call after a failure, times a jitter factor of 0.5 to 1.5; doubled with each
+  /// consecutive failure up to max_retry_delay.
+  Micros retry_delay = 0, max_retry_delay = 0;
+  /// True if failed watches are always retried here; otherwise the decision module says when to
+  /// watch again.
   bool always_retries = false;
 
   bool operator==(const WatchTiming&) const = default;
 };
 
-/// Where lists are asked for: discovery is one service for all routers, and each call costs it
-/// work, so there are few. `wait` is long and a watch is renewed well before what it may have
-/// missed counts as told.
+/// For polled lists: discovery is one service for all routers and each call costs it work, so calls
+/// are few. `wait` is long, and a watch is renewed well before a change that it may have missed
+/// counts as notified.
 WatchTiming polled_timing();
 
-/// Where lists are pushed: the address is an agent on the router's own machine, calls cost nothing,
-/// and what it has counts as told at once. So whatever becomes of one call, the next is made within
-/// `drain_grace`, the time for which a price cache that is told to leave may still be sent to.
+/// For pushed lists: the address is an agent on the router's own machine, calls are cheap, and the
+/// agent's list counts as notified at once. Whatever happens to one call, the next is made within
+/// `drain_grace`, the time for which a draining cache server may still be sent requests.
 WatchTiming pushed_timing(Micros drain_grace);
 
 }  // namespace violetusher::core::membership
--- a/src/core/mutants.hpp
+++ b/src/core/mutants.hpp
@@ -1,6 +1,6 @@
-// Faults that tests plant in the router's own code, to see them caught. In what ships `mutant()` is
-// a constant false and nothing is left of them; only the tests' build has VIOLETUSHER_MUTANTS, and
-// there the environment variable VIOLETUSHER_MUTANT names the one that is planted.
+// Faults that tests inject into the router's own code to verify that checks detect them. In release
+// builds `mutant()` is constant false and the code is removed; only the test build defines
+// VIOLETUSHER_MUTANTS, and the environment variable VIOLETUSHER_MUTANT selects the fault.
 #pragma once
 
 #ifdef VIOLETUSHER_MUTANTS
@@ -10,12 +10,13 @@
 
 namespace violetusher::core {
 
+/// The faults that can be injected.
 enum class Mutant {
-  kAcknowledgeBeforeDurable,  ///< a ban is said yes to before it is written
-  kFileOverridesMemory,       ///< the file of bans is the whole truth
-  kEvictAtAnyShortage,        ///< each accept that fails closes a resting client, unread
-  kReloadNotRetried,          ///< a file that can't be read counts as a broken one
-  kTrustServerClock,          ///< starts of servers are taken by whatever clock told them
+  kAcknowledgeBeforeDurable,  ///< a ban is acknowledged before it is durable
+  kFileOverridesMemory,       ///< the ban file replaces the bans in memory
+  kEvictAtAnyShortage,        ///< each failed accept closes an idle client connection, unread
+  kReloadNotRetried,          ///< an unreadable file counts as an invalid one
+  kTrustServerClock,          ///< listed start times are used whatever the clock behind them
 };
 
 #ifdef VIOLETUSHER_MUTANTS
--- a/tests/core/membership/watch_scheduler_test.cpp
+++ b/tests/core/membership/watch_scheduler_test.cpp
@@ -1,4 +1,5 @@
-// When a router calls discovery, on a stepped clock. The rows of docs/design/membership.md.
+// Tests of the call schedule on a simulated clock; the cases are those of
+// docs/design/membership.md.
 #include "core/membership/watch_scheduler.hpp"
 
 #include <gtest/gtest.h>
@@ -17,31 +18,31 @@
 namespace violetusher::core::membership {
 namespace {
 
-constexpr Micros kMs = 1000, kS = 1'000'000;
+constexpr Micros kMillisecond = 1000, kSecond = 1'000'000;
 
-/// A router's calls and a discovery that does what the test says.
-struct World final : WatchScheduler::Port {
-  explicit World(const WatchTiming& t, std::uint64_t seed = 1)
-      : terms(t), calls(*this, t, "7", seed) {
+/// A router's scheduler, with a discovery that responds as the test says.
+struct Fixture final : WatchScheduler::Port {
+  explicit Fixture(const WatchTiming& t, std::uint64_t seed = 1)
+      : timing(t), calls(*this, t, "7", seed) {
     calls.set_started(now);
   }
-  struct Made {
+  struct CallRecord {
     Micros at;
     WatchScheduler::Place place;
     std::string version;
     Micros wait;
   };
   void start(WatchScheduler::Place place, const std::string& version, Micros wait) override {
-    made.push_back({now, place, version, wait});
-    out[place] = made.back();
+    calls_made.push_back({now, place, version, wait});
+    out[place] = calls_made.back();
   }
   void cancel(WatchScheduler::Place place) override {
     out.erase(place);
-    given_up.push_back(now);
+    cancelled.push_back(now);
   }
-  void on_watch_lost() override { ++gave_ups; }
+  void on_watch_lost() override { ++watches_lost; }
 
-  /// Lets time pass; what is due is done.
+  /// Advances the time and runs everything that is due.
   void run(Micros until) {
     while (auto next = calls.next_due()) {
       if (*next > until) break;
@@ -61,65 +62,69 @@
     out.erase(place);
     calls.on_response(place, now, {});
   }
-  /// A watch that waits, as it stands behind the first answer.
+  /// Brings the scheduler to a waiting watch, after the first response.
   void settle() {
     calls.watch(now);
-    now += 5 * kMs;
+    now += 5 * kMillisecond;
     answer(WatchScheduler::kWatch0, "7");
   }
 
-  WatchTiming terms;
-  Micros now = 1000 * kS;
-  std::vector<Made> made;
-  std::map<WatchScheduler::Place, Made> out;
-  std::vector<Micros> given_up;  ///< when calls were dropped
-  int gave_ups = 0;
+  WatchTiming timing;
+  Micros now = 1000 * kSecond;
+  std::vector<CallRecord> calls_made;
+  std::map<WatchScheduler::Place, CallRecord> out;
+  std::vector<Micros> cancelled;  ///< when calls were cancelled
+  int watches_lost = 0;
   WatchScheduler calls;
 };
 
-/// A router whose open calls all fall silent at once, at a discovery that answers each later call
-/// after `service`, and a change that comes at some time after that.
+/// A router whose calls in flight all fall silent at once, with a discovery that responds to each
+/// later call after `service`, and a change some time after that.
 struct Silence {
-  Micros service = 250 * kMs;
-  /// The longest that the module takes to ask again where no call is left.
-  static constexpr Micros kModule = 3 * kS / 2;
+  Micros service = 250 * kMillisecond;
+  /// The longest time in which the decision module starts a watch again where none is left.
+  static constexpr Micros kModuleRestart = 3 * kSecond / 2;
 
-  Silence(const WatchTiming& terms, std::uint64_t seed) : w(terms, seed) { w.settle(); }
+  Silence(const WatchTiming& timing, std::uint64_t seed) : w(timing, seed) { w.settle(); }
 
-  /// How long before the change counts as told the router knows of it.
+  /// Returns how long before the change counts as notified the router has it.
   Micros margin(Micros silent, Micros change) {
     Micros began = w.now;
     silent += began, change += began;
-    Micros told = 0, given_up = 0;
-    for (Micros t = began; t < change + 60 * kS; t += 10 * kMs) {
+    Micros notified = 0, cancelled = 0;
+    for (Micros t = began; t < change + 60 * kSecond; t += 10 * kMillisecond) {
       bool before = t < silent;
       w.run(t);
       if (t == silent) {
-        dead.clear();
-        told = t + 1000 * kS;
+        silent_calls.clear();
+        notified = t + 1000 * kSecond;
         for (const auto& [place, call] : w.out) {
-          dead[place] = call.at;
-          told = std::min(
-              told, std::max(silent + Told::kAfterSilence, call.at + call.wait + Told::kAfterWait));
+          silent_calls[place] = call.at;
+          notified =
+              std::min(notified, std::max(silent + NotificationDelay::kAfterSilence,
+                                          call.at + call.wait + NotificationDelay::kAfterWait));
         }
-        if (dead.empty()) return 1000 * kS;  // between two calls there is none that falls silent
-        w.given_up.clear();
+        if (silent_calls.empty())
+          return 1000 * kSecond;  // no call is in flight that could fall silent
+        w.cancelled.clear();
       }
-      // Whatever else is allowed: 6 s after discovery had it, once a call was given up.
-      if (!before && !given_up && !w.given_up.empty()) given_up = w.given_up.front();
+      // After a cancelled call a change counts as notified at most 6 s after discovery had it.
+      if (!before && !cancelled && !w.cancelled.empty()) cancelled = w.cancelled.front();
       if (w.calls.version() == "8") {
-        told = std::max(told, change);
-        if (given_up) told = std::min(told, std::max(change + Told::kAfterFailure, given_up));
-        return told - t;
+        notified = std::max(notified, change);
+        if (cancelled)
+          notified =
+              std::min(notified, std::max(change + NotificationDelay::kAfterFailure, cancelled));
+        return notified - t;
       }
-      if (w.gave_ups > 0 && !again) again = t + kModule;
-      if (again && t >= again) {
-        again = w.gave_ups = 0;
+      if (w.watches_lost > 0 && !watch_at) watch_at = t + kModuleRestart;
+      if (watch_at && t >= watch_at) {
+        watch_at = w.watches_lost = 0;
         w.calls.watch(t);
       }
       answer(t, change);
     }
-    return -1000 * kS;
+    return -1000 * kSecond;
   }
 
   void answer(Micros t, Micros change) {
@@ -127,8 +132,8 @@
                        WatchScheduler::kFetch}) {
       auto it = w.out.find(place);
       if (it == w.out.end()) continue;
-      const World::Made& call = it->second;
-      if (dead.count(place) && dead[place] == call.at) continue;
+      const Fixture::CallRecord& call = it->second;
+      if (silent_calls.count(place) && silent_calls[place] == call.at) continue;
       bool news = t >= change + service && t >= call.at + service;
       if (news)
         w.answer(place, "8", call.version.empty());
@@ -137,17 +142,18 @@
     }
   }
 
-  World w;
-  std::map<WatchScheduler::Place, Micros> dead;
-  Micros again = 0;
+  Fixture w;
+  std::map<WatchScheduler::Place, Micros> silent_calls;
+  Micros watch_at = 0;
 };
 
-Micros least_margin(const WatchTiming& terms, Micros service) {
-  Micros least = 1000 * kS;
+Micros least_margin(const WatchTiming& timing, Micros service) {
+  Micros least = 1000 * kSecond;
   for (std::uint64_t seed = 1; seed <= 6; ++seed)
-    for (Micros silent = 100 * kMs; silent < 40 * kS; silent += 700 * kMs)
-      for (Micros later : {Micros{0}, 2 * kS, 5 * kS, 9 * kS, 14 * kS, 23 * kS}) {
-        Silence one(terms, seed);
+    for (Micros silent = 100 * kMillisecond; silent < 40 * kSecond; silent += 700 * kMillisecond)
+      for (Micros later :
+           {Micros{0}, 2 * kSecond, 5 * kSecond, 9 * kSecond, 14 * kSecond, 23 * kSecond}) {
+        Silence one(timing, seed);
         one.service = service;
         Micros m = one.margin(silent, silent + later);
         least = std::min(least, m);
@@ -155,76 +161,76 @@
   return least;
 }
 
-/// A watch that is let go, or given up for silence, is a given-up call: from then on a change
-/// counts as told after 6 s, and the watch beside it may be as silent.
-TEST(Membership, ASilentWatchIsMadeUpForBeforeItsChangesCountAsTold) {
-  // A live watch brings what is new after that time; the grace of drains is on top of it. An agent
-  // answers at once.
-  constexpr Micros kService = 250 * kMs, kStep = 10 * kMs;
+/// Guards against missed changes: once a watch is cancelled for silence, a change counts as
+/// notified after 6 s, and the watch beside it may be as silent.
+TEST(WatchScheduler, ASilentWatchIsReplacedBeforeItsChangesCountAsNotified) {
+  // A live watch delivers changes after kService; the drain grace comes on top. An agent responds
+  // at once.
+  constexpr Micros kService = 250 * kMillisecond, kStep = 10 * kMillisecond;
   EXPECT_GE(least_margin(polled_timing(), kService), -kService - kStep);
-  EXPECT_GE(least_margin(pushed_timing(kS / 2), kStep), -kS / 3);
-  // Taken for silent 4 s after its wait, where what it misses counts after 2 s.
+  EXPECT_GE(least_margin(pushed_timing(kSecond / 2), kStep), -kSecond / 3);
+  // With silence detected 4 s after the wait, changes that count after 2 s are late.
   WatchTiming late = polled_timing();
-  late.limit = 4 * kS;
-  EXPECT_LT(least_margin(late, kService), -kS);
+  late.response_timeout = 4 * kSecond;
+  EXPECT_LT(least_margin(late, kService), -kSecond);
 }
 
-/// In quiet no call is given up: each goes on to its own end.
-TEST(Membership, NoCallIsGivenUpWhileDiscoveryAnswers) {
+/// In normal operation no call is cancelled: each runs to its own end.
+TEST(WatchScheduler, NoCallIsCancelledWhileDiscoveryResponds) {
   for (std::uint64_t seed = 1; seed <= 20; ++seed) {
     Silence one(polled_timing(), seed);
     Micros began = one.w.now;
-    for (Micros t = began; t < began + 300 * kS; t += 10 * kMs) {
+    for (Micros t = began; t < began + 300 * kSecond; t += 10 * kMillisecond) {
       one.w.run(t);
-      one.answer(t, /*change=*/began + 1000 * kS);
+      one.answer(t, /*change=*/began + 1000 * kSecond);
     }
-    EXPECT_TRUE(one.w.given_up.empty());
-    EXPECT_EQ(one.w.gave_ups, 0);
-    EXPECT_LE(one.w.made.size(), 300u / 16 + 2);
+    EXPECT_TRUE(one.w.cancelled.empty());
+    EXPECT_EQ(one.w.watches_lost, 0);
+    EXPECT_LE(one.w.calls_made.size(), 300u / 16 + 2);
   }
 }
 
-/// Pushed: what the agent has counts at once. Whatever becomes of calls, the next is out within the
-/// grace for which a leaving price cache may be sent to, and there is no busy loop.
-TEST(Membership, WhereListsArePushedNoCallIsFarAwayWhateverFails) {
-  for (Micros grace : {50 * kMs, 500 * kMs, 3 * kS}) {
-    World w(pushed_timing(grace));
+/// Pushed lists count as notified at once. Whatever fails, the next call is made within the grace
+/// for which a draining cache server may be sent requests, and there is no busy loop.
+TEST(WatchScheduler, PushedListsAreRequestedWithinTheDrainGraceDespiteFailures) {
+  for (Micros grace : {50 * kMillisecond, 500 * kMillisecond, 3 * kSecond}) {
+    Fixture w(pushed_timing(grace));
     w.calls.watch(w.now);
     Micros last = w.now, longest = 0, began = w.now;
-    std::size_t seen = w.made.size();
-    for (int k = 0; w.now < began + 60 * kS; ++k) {
+    std::size_t seen = w.calls_made.size();
+    for (int k = 0; w.now < began + 60 * kSecond; ++k) {
       if (k % 3 == 0 && w.out.count(WatchScheduler::kWatch0)) w.fail(WatchScheduler::kWatch0);
       auto next = w.calls.next_due();
       ASSERT_TRUE(next);
       w.run(*next);
-      if (w.made.size() == seen) continue;
-      seen = w.made.size();
+      if (w.calls_made.size() == seen) continue;
+      seen = w.calls_made.size();
       longest = std::max(longest, w.now - last);
       last = w.now;
     }
-    EXPECT_LT(longest, std::max(grace * 4 / 5, 80 * kMs)) << grace;
-    EXPECT_LT(seen, static_cast<std::size_t>(60 * kS / (5 * kMs))) << grace;
-    EXPECT_EQ(w.gave_ups, 0);
+    EXPECT_LT(longest, std::max(grace * 4 / 5, 80 * kMillisecond)) << grace;
+    EXPECT_LT(seen, static_cast<std::size_t>(60 * kSecond / (5 * kMillisecond))) << grace;
+    EXPECT_EQ(w.watches_lost, 0);
   }
 }
 
-/// An agent slower than what a watch is given is heard all the same.
-TEST(Membership, ASlowAgentIsHeard) {
-  World w(pushed_timing(kS / 2));
+/// An agent that is slower than the timeout of a watch is still reached.
+TEST(WatchScheduler, ASlowAgentIsReachedBySingleFetches) {
+  Fixture w(pushed_timing(kSecond / 2));
   w.calls.watch(w.now);
   while (!w.out.count(WatchScheduler::kFetch)) w.run(*w.calls.next_due());
-  w.run(w.now + 3 * kS / 2);
+  w.run(w.now + 3 * kSecond / 2);
   EXPECT_EQ(w.answer(WatchScheduler::kFetch, "8", true), ListDecision::kApply);
   EXPECT_EQ(w.calls.version(), "8");
   EXPECT_EQ(w.calls.last_response_at(), w.now);
 }
 
-TEST(Membership, TheOlderWatchGoesOnToItsOwnEnd) {
-  World w(polled_timing());
+TEST(WatchScheduler, TheOlderWatchRunsToItsOwnEnd) {
+  Fixture w(polled_timing());
   w.settle();
   Micros began = w.now;
   while (w.out.size() < 2) w.run(*w.calls.next_due());
-  // A change comes on the older one: nothing is lost, and the newer one stays the only one.
+  // A change arrives on the older one: nothing is lost, and one watch remains.
   EXPECT_EQ(w.answer(WatchScheduler::kWatch0, "8"), ListDecision::kApply);
   EXPECT_EQ(w.out.size(), 1u);
   EXPECT_EQ(w.answer(WatchScheduler::kWatch1, "8"), ListDecision::kApply);
@@ -232,85 +238,86 @@
 
   while (w.out.size() < 2) w.run(*w.calls.next_due());
   Micros older = w.out.at(WatchScheduler::kWatch1).at;
-  // The newer fails: it is tried again while the older goes on, and nobody is told.
+  // The newer fails: it is retried while the older goes on, and nothing is reported.
   WatchScheduler::Place newer = WatchScheduler::kWatch0;
   w.fail(newer);
   EXPECT_EQ(w.out.size(), 1u);
-  w.run(w.now + 3 * kS / 2);
+  w.run(w.now + 3 * kSecond / 2);
   EXPECT_EQ(w.out.size(), 2u);
-  EXPECT_EQ(w.gave_ups, 0);
-  // It is not let go, and once its wait is over its empty answer ends it.
-  w.run(older + w.terms.wait + 100 * kMs);
-  EXPECT_TRUE(w.given_up.empty());
+  EXPECT_EQ(w.watches_lost, 0);
+  // The older is not cancelled; after its wait an empty response ends it.
+  w.run(older + w.timing.wait + 100 * kMillisecond);
+  EXPECT_TRUE(w.cancelled.empty());
   EXPECT_GT(w.now, began);
   EXPECT_EQ(w.answer(WatchScheduler::kWatch1, "8"), ListDecision::kApply);
   EXPECT_EQ(w.out.size(), 1u);
   EXPECT_EQ(w.out.count(newer), 1u);
-  // The only one breaks: the module is told and asks when it wants to.
+  // The only one fails: the loss is reported, and the decision module starts the next watch.
   w.fail(newer);
-  EXPECT_EQ(w.gave_ups, 1);
+  EXPECT_EQ(w.watches_lost, 1);
   EXPECT_FALSE(w.calls.next_due());
 }
 
-/// The older one has no end when it should: the newer may be as silent. A call that is answered at
-/// once brings what they missed, and they are let go no sooner, as a call that is given up starts
-/// the clock of 6 s. The same where the older breaks alone.
-TEST(Membership, ASilentOlderWatchProvesNothingOfTheNewer) {
+/// An older watch without an end shows silence, and the newer may be as silent. An immediate call
+/// fetches what they missed before they are cancelled, as a cancelled call starts the deadline of 6
+/// s. The same holds if the older fails alone.
+TEST(WatchScheduler, ASilentOlderWatchTriggersAnImmediateCall) {
   for (bool breaks : {false, true}) {
-    World w(polled_timing());
+    Fixture w(polled_timing());
     w.settle();
-    World::Made older = w.out.at(WatchScheduler::kWatch0);
+    Fixture::CallRecord older = w.out.at(WatchScheduler::kWatch0);
     while (w.out.size() < 2) w.run(*w.calls.next_due());
-    w.run(w.now + kS);
+    w.run(w.now + kSecond);
     if (breaks)
       w.fail(WatchScheduler::kWatch0);
     else
-      w.run(older.at + older.wait + w.terms.limit);
+      w.run(older.at + older.wait + w.timing.response_timeout);
     ASSERT_EQ(w.out.size(), breaks ? 2u : 3u);
-    EXPECT_TRUE(w.given_up.empty());
+    EXPECT_TRUE(w.cancelled.empty());
     WatchScheduler::Place fresh = breaks ? WatchScheduler::kWatch0 : WatchScheduler::kWatch2;
     EXPECT_EQ(w.out.at(fresh).at, w.now);
-    EXPECT_EQ(w.out.at(fresh).wait, kMs);  // answered at once
+    EXPECT_EQ(w.out.at(fresh).wait, kMillisecond);  // returns at once
     EXPECT_EQ(w.answer(fresh, "7"), ListDecision::kApply);
     EXPECT_EQ(w.out.size(), 1u);
-    EXPECT_GT(w.out.at(fresh).wait, 20 * kS);
-    EXPECT_EQ(w.gave_ups, 0);
+    EXPECT_GT(w.out.at(fresh).wait, 20 * kSecond);
+    EXPECT_EQ(w.watches_lost, 0);
   }
 }
 
-/// Both watches fail, one after the other, with the newer one about to be tried again.
-TEST(Membership, GivesUpOnceWhereBothWatchesEnd) {
-  World w(polled_timing());
+/// Both watches fail in turn while a retry of the newer is planned: the loss is reported once.
+TEST(WatchScheduler, ReportsTheLossOnceWhenBothWatchesFail) {
+  Fixture w(polled_timing());
   w.settle();
   while (w.out.size() < 2) w.run(*w.calls.next_due());
   w.fail(WatchScheduler::kWatch1);
   w.fail(WatchScheduler::kWatch0);
-  EXPECT_EQ(w.gave_ups, 1);
+  EXPECT_EQ(w.watches_lost, 1);
   EXPECT_FALSE(w.calls.next_due());
 }
 
-/// Three hundred routers whose watches were answered in the same moment: the one service is not
-/// asked by all of them at once, and each makes four calls a minute at the most.
-TEST(Membership, RoutersOfOneFleetDoNotRenewTogether) {
+/// 300 routers whose watches end at the same moment do not call discovery all at once, and each
+/// makes at most four calls a minute.
+TEST(WatchScheduler, RenewalsOfManyRoutersAreSpread) {
   std::map<Micros, int> a_second;
   int calls = 0;
   for (std::uint64_t seed = 1; seed <= 300; ++seed) {
     Silence one(polled_timing(), seed);
-    World& w = one.w;
-    std::size_t before = w.made.size();
-    for (Micros t = w.now, end = t + 60 * kS; t < end; t += 10 * kMs) {
+    Fixture& w = one.w;
+    std::size_t before = w.calls_made.size();
+    for (Micros t = w.now, end = t + 60 * kSecond; t < end; t += 10 * kMillisecond) {
       w.run(t);
-      one.answer(t, /*change=*/end + kS);
+      one.answer(t, /*change=*/end + kSecond);
     }
-    calls += static_cast<int>(w.made.size() - before);
-    for (std::size_t k = before; k < w.made.size(); ++k) ++a_second[w.made[k].at / kS];
+    calls += static_cast<int>(w.calls_made.size() - before);
+    for (std::size_t k = before; k < w.calls_made.size(); ++k)
+      ++a_second[w.calls_made[k].at / kSecond];
   }
   EXPECT_LE(calls, 300 * 4);
   for (const auto& [second, count] : a_second) EXPECT_LE(count, 120) << second;
 }
 
-TEST(Membership, AnAnswerThatWasOvertakenChangesNothing) {
-  World w(polled_timing());
+TEST(WatchScheduler, AnOvertakenResponseIsIgnored) {
+  Fixture w(polled_timing());
   w.settle();
   w.calls.fetch(w.now);
   EXPECT_EQ(w.answer(WatchScheduler::kWatch0, "9"), ListDecision::kApply);
@@ -318,7 +325,7 @@
   EXPECT_EQ(w.calls.version(), "9");
   EXPECT_EQ(w.out.count(WatchScheduler::kWatch0), 1u);  // the watch goes on
   EXPECT_EQ(w.out.at(WatchScheduler::kWatch0).version, "9");
-  // Versions that are no numbers tell nothing: then the order of the calls does.
+  // Versions that are not numbers have no order: the order of the calls decides.
   w.calls.fetch(w.now);
   EXPECT_EQ(w.answer(WatchScheduler::kWatch0, "b"), ListDecision::kApply);
   EXPECT_EQ(w.answer(WatchScheduler::kFetch, "a", true), ListDecision::kIgnore);
@@ -326,20 +333,20 @@
   EXPECT_EQ(w.answer(WatchScheduler::kFetch, "a", true), ListDecision::kApply);
 }
 
-/// Discovery's count goes back. It is asked for all it has, and believed only when it says so
-/// again and again; then it is doubted, and asked once more half a minute later.
-TEST(Membership, AListOlderThanWhatIsHeldIsBelievedLate) {
-  World w(polled_timing());
+/// Discovery's version count goes back. The full list is requested, applied as unconfirmed only
+/// after it repeats, and requested once more half a minute later.
+TEST(WatchScheduler, AnOlderListIsAppliedOnlyAfterItRepeats) {
+  Fixture w(polled_timing());
   w.settle();
   EXPECT_EQ(w.answer(WatchScheduler::kWatch0, "3"), ListDecision::kIgnore);
-  EXPECT_EQ(w.gave_ups, 1);
+  EXPECT_EQ(w.watches_lost, 1);
   for (int k = 0; k < 2; ++k) {
-    w.calls.watch(w.now += kS);
-    EXPECT_EQ(w.out.at(WatchScheduler::kWatch0).version, "");  // all of it
+    w.calls.watch(w.now += kSecond);
+    EXPECT_EQ(w.out.at(WatchScheduler::kWatch0).version, "");  // the full list
     EXPECT_EQ(w.answer(WatchScheduler::kWatch0, "3", true), ListDecision::kIgnore);
     EXPECT_EQ(w.calls.version(), "7");
   }
-  w.calls.watch(w.now += kS);
+  w.calls.watch(w.now += kSecond);
   EXPECT_EQ(w.answer(WatchScheduler::kWatch0, "3", true), ListDecision::kApplyUnconfirmed);
   EXPECT_EQ(w.calls.version(), "3");
   EXPECT_EQ(w.out.at(WatchScheduler::kWatch0).version, "3");
@@ -347,10 +354,10 @@
   EXPECT_EQ(w.answer(WatchScheduler::kFetch, "3", true), ListDecision::kApply);
 }
 
-/// After a move the versions of the new place mean what they mean there.
-TEST(Membership, AnotherDiscoveryIsAskedForAllAndDoubtedWhereItIsBehind) {
+/// After a change of address, versions have the meaning of the new discovery.
+TEST(WatchScheduler, ANewAddressSendsTheFullListWhichIsUnconfirmedIfOlder) {
   for (const char* seq : {"2", "7", "50"}) {
-    World w(polled_timing());
+    Fixture w(polled_timing());
     w.settle();
     w.calls.change_address(w.now);
     EXPECT_EQ(w.out.size(), 1u);
@@ -361,87 +368,88 @@
   }
 }
 
-/// What it has counts as told in 4 s. A first call that falls silent is not waited for alone.
-TEST(Membership, AnotherDiscoveryIsAskedTwiceWhereItSaysNothing) {
-  World w(polled_timing());
+/// The list of a new address counts as notified in 4 s, so a silent first call is not waited for
+/// alone.
+TEST(WatchScheduler, ANewAddressGetsASecondCallIfTheFirstIsSilent) {
+  Fixture w(polled_timing());
   w.settle();
   w.calls.change_address(w.now);
   Micros moved = w.now;
-  w.made.clear(), w.given_up.clear();
-  while (w.made.empty()) w.run(*w.calls.next_due());
-  EXPECT_LE(w.now - moved, 2 * kS);
+  w.calls_made.clear(), w.cancelled.clear();
+  while (w.calls_made.empty()) w.run(*w.calls.next_due());
+  EXPECT_LE(w.now - moved, 2 * kSecond);
   ASSERT_EQ(w.out.size(), 2u);
-  EXPECT_EQ(w.made[0].version, "");
-  EXPECT_TRUE(w.given_up.empty());  // the first may wait for its turn
-  EXPECT_EQ(w.answer(w.made[0].place, "9", true), ListDecision::kApply);
+  EXPECT_EQ(w.calls_made[0].version, "");
+  EXPECT_TRUE(w.cancelled.empty());  // the first may still be queued
+  EXPECT_EQ(w.answer(w.calls_made[0].place, "9", true), ListDecision::kApply);
   EXPECT_EQ(w.calls.version(), "9");
 }
 
-/// What of a list can be used is used, and the rest asked for again from the version before.
-TEST(Membership, AListOfWhichAPartIsUnusableIsAskedForAgain) {
-  World w(pushed_timing(kS / 2));
+/// The usable part of a list is applied, and the list is requested again from the previous version.
+TEST(WatchScheduler, AListWithUnusableEntriesIsRequestedAgain) {
+  Fixture w(pushed_timing(kSecond / 2));
   w.settle();
   EXPECT_EQ(w.answer(WatchScheduler::kWatch0, "8", false, /*sound=*/false), ListDecision::kApply);
   EXPECT_EQ(w.calls.version(), "7");
-  EXPECT_TRUE(w.out.empty());  // not at once: it would be a busy loop
-  w.run(w.now + 200 * kMs);
+  EXPECT_TRUE(w.out.empty());  // not at once, which would be a busy loop
+  w.run(w.now + 200 * kMillisecond);
   EXPECT_EQ(w.out.at(WatchScheduler::kWatch0).version, "7");
   EXPECT_EQ(w.answer(WatchScheduler::kWatch0, "8"), ListDecision::kApply);
   EXPECT_EQ(w.calls.version(), "8");
 }
 
-/// Discovery that does not hold watches is not asked in a busy loop, and its watch goes on.
-TEST(Membership, AWatchThatIsNotHeldIsNoBusyLoop) {
-  World w(polled_timing());
+/// A discovery that does not hold watches is not called in a busy loop, and its watch continues.
+TEST(WatchScheduler, AWatchThatReturnsAtOnceCausesNoBusyLoop) {
+  Fixture w(polled_timing());
   w.settle();
   Micros began = w.now;
-  std::size_t before = w.made.size();
-  while (w.now < began + 10 * kS) {
+  std::size_t before = w.calls_made.size();
+  while (w.now < began + 10 * kSecond) {
     if (w.out.count(WatchScheduler::kWatch0)) w.answer(WatchScheduler::kWatch0, "7");
     Micros next = *w.calls.next_due();
-    EXPECT_LE(next - w.now, 200 * kMs);
+    EXPECT_LE(next - w.now, 200 * kMillisecond);
     w.run(next);
   }
-  EXPECT_LE(w.made.size() - before, 101u);
+  EXPECT_LE(w.calls_made.size() - before, 101u);
   EXPECT_EQ(w.answer(WatchScheduler::kWatch0, "8"),
-            ListDecision::kApply);  // what is new is followed at once
+            ListDecision::kApply);  // a change is followed by a call at once
   EXPECT_EQ(w.out.count(WatchScheduler::kWatch0), 1u);
 }
 
-TEST(Membership, ASingleFetchIsTriedAFewTimes) {
-  World w(polled_timing());
+TEST(WatchScheduler, ASingleFetchIsTriedFiveTimes) {
+  Fixture w(polled_timing());
   w.calls.fetch(w.now);
-  w.run(w.now + 60 * kS);
-  EXPECT_EQ(w.made.size(), 5u);
+  w.run(w.now + 60 * kSecond);
+  EXPECT_EQ(w.calls_made.size(), 5u);
   EXPECT_FALSE(w.calls.next_due());
 }
 
-/// One router with its decision module, which says when to watch again, at a discovery that answers
+/// A router with its decision module, which says when to watch again, and a discovery that responds
 /// within 50 ms or refuses at once.
-struct AskingRouter final : WatchScheduler::Port {
-  AskingRouter(const violetusher::Settings& settings, std::uint64_t seed, Micros now)
+struct PollingRouter final : WatchScheduler::Port {
+  PollingRouter(const violetusher::Settings& settings, std::uint64_t seed, Micros now)
       : module(settings, seed, now), calls(*this, polled_timing(), "7", seed) {
     calls.set_started(now);
-    take(now, module.start(now));
+    apply(now, module.start(now));
   }
   void start(WatchScheduler::Place place, const std::string&, Micros wait) override {
-    ++made;
-    if (queued && wait <= kS) queued(place, made);
-    serial[place] = made;
-    out[place] = wait > kS ? at + wait : at;
+    ++calls_made;
+    if (queued && wait <= kSecond) queued(place, calls_made);
+    serial[place] = calls_made;
+    out[place] = wait > kSecond ? at + wait : at;
   }
   void cancel(WatchScheduler::Place place) override { out.erase(place); }
   void on_watch_lost() override { failed = true; }
-  void take(Micros now, const violetusher::Actions& actions) {
+  void apply(Micros now, const violetusher::Actions& actions) {
     for (const auto& action : actions) {
       if (auto* t = std::get_if<violetusher::Timer>(&action))
         timers.emplace(now + t->after, t->token);
       if (std::holds_alternative<violetusher::Watch>(action)) calls.watch(now);
     }
   }
-  void tell_module(Micros now, violetusher::ListScope scope) {
+  void notify_module(Micros now, violetusher::ListScope scope) {
     std::vector<violetusher::Action> actions = module.on_list(now, scope, {});
-    take(now, actions);
+    apply(now, actions);
   }
   void step(Micros now, bool down) {
     at = now;
@@ -449,7 +457,7 @@
       std::uint64_t token = timers.begin()->second;
       timers.erase(timers.begin());
       std::vector<violetusher::Action> actions = module.on_timer(now, token);
-      take(now, actions);
+      apply(now, actions);
     }
     calls.run_due(now);
     for (auto place : {WatchScheduler::kWatch0, WatchScheduler::kWatch1, WatchScheduler::kWatch2}) {
@@ -457,52 +465,52 @@
       if (it == out.end() || (!down && it->second > now)) continue;
       if (!queued) answer(place, now, !down);
     }
-    if (std::exchange(failed, false)) tell_module(now, violetusher::ListScope::Failed);
+    if (std::exchange(failed, false)) notify_module(now, violetusher::ListScope::Failed);
   }
   void answer(WatchScheduler::Place place, Micros now, bool good) {
     out.erase(place);
     calls.on_response(place, now, {.sound = good, .list = good, .version = "7"});
-    if (good) tell_module(now, violetusher::ListScope::Delta);
+    if (good) notify_module(now, violetusher::ListScope::Delta);
   }
 
   violetusher::Balancer module;
   std::multimap<Micros, std::uint64_t> timers;
-  std::map<WatchScheduler::Place, Micros> out;  ///< and when discovery answers, where it can
+  std::map<WatchScheduler::Place, Micros>
+      out;  ///< call slots in flight, and when discovery responds if it is up
   Micros at = 0;
-  int made = 0;
-  std::map<WatchScheduler::Place, int>
-      serial;  ///< of the calls made, the one that is out at a place
-  /// Where set, calls that do not wait are answered by the test.
+  int calls_made = 0;
+  std::map<WatchScheduler::Place, int> serial;  ///< number of the call in flight in each slot
+  /// If set, the test answers immediate calls itself.
   std::function<void(WatchScheduler::Place, int serial)> queued;
   bool failed = false;
   WatchScheduler calls;
 };
 
-/// Protects against: routers that start together at a discovery that takes 8 s for a call from
-/// each, lets calls wait for 3 s and turns others away. Calls that were let go after 2 s had lost
-/// their place, were worked through all the same, and with pauses that doubled behind them some
-/// routers had their first list after 21 s.
-TEST(Membership, RoutersThatStartTogetherHaveTheirListsAsFastAsDiscoveryCanTell) {
+/// Guards against slow starts: 32 routers start together at a discovery that takes 8 s for one call
+/// of each, queues calls for 3 s and refuses others. With calls cancelled after 2 s and exponential
+/// backoff behind them, some routers had their first list after 21 s, as cancelled calls lost their
+/// place but were still processed.
+TEST(WatchScheduler, RoutersThatStartTogetherHaveTheirListsWithin12Seconds) {
   violetusher::Settings settings;
   settings.classes.push_back({});
   settings.classes[0].name = "read";
   settings.list_on_demand = true;
   constexpr int kRouters = 32;
-  constexpr Micros kEach = 8 * kS / kRouters, kMostWait = 3 * kS;
+  constexpr Micros kServiceTime = 8 * kSecond / kRouters, kMaxQueueTime = 3 * kSecond;
   settings.routers = kRouters;
   struct Queued {
     std::size_t router;
     WatchScheduler::Place place;
     int serial;
   };
-  Micros began = 1000 * kS, now = began, busy_until = began;
+  Micros began = 1000 * kSecond, now = began, busy_until = began;
   std::deque<Queued> queue;
   std::vector<Queued> refused;
-  std::vector<std::unique_ptr<AskingRouter>> routers;
+  std::vector<std::unique_ptr<PollingRouter>> routers;
   for (std::size_t k = 0; k < kRouters; ++k) {
-    routers.push_back(std::make_unique<AskingRouter>(settings, k + 1, began));
+    routers.push_back(std::make_unique<PollingRouter>(settings, k + 1, began));
     routers.back()->queued = [&, k](WatchScheduler::Place place, int serial) {
-      bool full = static_cast<Micros>(queue.size() + 1) * kEach > kMostWait;
+      bool full = static_cast<Micros>(queue.size() + 1) * kServiceTime > kMaxQueueTime;
       if (full)
         refused.push_back({k, place, serial});
       else
@@ -510,73 +518,75 @@
     };
   }
   auto answer = [&](const Queued& call, bool good) {
-    AskingRouter& r = *routers[call.router];
+    PollingRouter& r = *routers[call.router];
     if (r.out.count(call.place) && r.serial[call.place] == call.serial)
       r.answer(call.place, now, good);
   };
-  std::set<std::size_t> told;
-  for (; now < began + 60 * kS && told.size() < kRouters; now += 10 * kMs) {
+  std::set<std::size_t> with_list;
+  for (; now < began + 60 * kSecond && with_list.size() < kRouters; now += 10 * kMillisecond) {
     for (auto& r : routers) r->step(now, false);
     for (const Queued& call : std::exchange(refused, {})) answer(call, false);
     if (now < busy_until || queue.empty()) continue;
     Queued call = queue.front();
     queue.pop_front();
-    busy_until = now + kEach;  // also for one that nobody waits for any more
+    busy_until = now + kServiceTime;  // also for a cancelled call
     answer(call, true);
-    if (routers[call.router]->calls.last_response_at() == now) told.insert(call.router);
+    if (routers[call.router]->calls.last_response_at() == now) with_list.insert(call.router);
   }
   std::printf("32 routers: all have their list after %.1f s\n",
               static_cast<double>(now - began) / 1e6);
-  EXPECT_LE(now - began, 12 * kS);
+  EXPECT_LE(now - began, 12 * kSecond);
 }
 
-/// Down for 8 s, and back: 6 s later what it has counts as told to all, whatever failed before and
-/// though the first call of each fails once more, as they come together. Pauses that doubled up to
-/// 8 s left some routers with a list 12 s old.
-TEST(Membership, WhatDiscoveryHasAtItsReturnIsKnownBeforeItCountsAsTold) {
+/// Discovery is down for 8 s. 6 s after its return its list counts as notified to all, though the
+/// first call of each router fails once more. With a backoff of up to 8 s some routers had a list
+/// 12 s old.
+TEST(WatchScheduler, TheListIsFetchedInTimeAfterDiscoveryReturns) {
   violetusher::Settings settings;
   settings.classes.push_back({});
   settings.classes[0].name = "read";
   settings.list_on_demand = true;
   settings.routers = 300;
-  Micros began = 1000 * kS, longest = 0;
+  Micros began = 1000 * kSecond, longest = 0;
   for (std::uint64_t seed = 1; seed <= 100; ++seed) {
-    AskingRouter r(settings, seed, began);
-    for (Micros t = 0; t < 60 * kS; t += 10 * kMs) r.step(began + t, false);
-    for (Micros t = 60 * kS; t < 68 * kS; t += 10 * kMs) r.step(began + t, true);
-    int refused = r.made;
-    Micros t = 68 * kS;
-    for (; r.made < refused + 2; t += 10 * kMs) r.step(began + t, r.made == refused || r.made == 0);
-    longest = std::max(longest, t - 68 * kS);
+    PollingRouter r(settings, seed, began);
+    for (Micros t = 0; t < 60 * kSecond; t += 10 * kMillisecond) r.step(began + t, false);
+    for (Micros t = 60 * kSecond; t < 68 * kSecond; t += 10 * kMillisecond) r.step(began + t, true);
+    int refused = r.calls_made;
+    Micros t = 68 * kSecond;
+    for (; r.calls_made < refused + 2; t += 10 * kMillisecond)
+      r.step(began + t, r.calls_made == refused || r.calls_made == 0);
+    longest = std::max(longest, t - 68 * kSecond);
   }
-  EXPECT_LE(longest, Told::kAfterFailure - 2 * kS);  // 2 s for the answer
+  EXPECT_LE(longest, NotificationDelay::kAfterFailure - 2 * kSecond);  // 2 s for the response
 }
 
-/// 300 routers and a discovery that is down for 8 s: all that were refused come back within the
-/// module's longest pause (1.5 s), each with one call that is answered at once and one that waits.
-/// They may not be spread further: 6 s after the return its list counts as told.
-TEST(Membership, DiscoveryThatIsBackIsNotRunOver) {
+/// 300 routers and a discovery that is down for 8 s: all retry within the decision module's longest
+/// delay (1.5 s), each with one immediate call and one that waits. They can't be spread further, as
+/// the list counts as notified 6 s after the return.
+TEST(WatchScheduler, ReturningDiscoveryIsNotOverloadedByRetries) {
   violetusher::Settings settings;
   settings.classes.push_back({});
   settings.classes[0].name = "read";
   settings.list_on_demand = true;
   settings.routers = 300;
-  Micros began = 1000 * kS;
-  std::vector<std::unique_ptr<AskingRouter>> routers;
+  Micros began = 1000 * kSecond;
+  std::vector<std::unique_ptr<PollingRouter>> routers;
   for (std::uint64_t k = 1; k <= 300; ++k)
-    routers.push_back(std::make_unique<AskingRouter>(settings, k, began));
+    routers.push_back(std::make_unique<PollingRouter>(settings, k, began));
   auto calls_within = [&](Micros from, Micros until) {
     int before = 0, after = 0;
-    for (auto& r : routers) before += r->made;
-    for (Micros t = from; t < until; t += 10 * kMs)
-      for (auto& r : routers) r->step(began + t, t >= 60 * kS && t < 68 * kS);
-    for (auto& r : routers) after += r->made;
+    for (auto& r : routers) before += r->calls_made;
+    for (Micros t = from; t < until; t += 10 * kMillisecond)
+      for (auto& r : routers) r->step(began + t, t >= 60 * kSecond && t < 68 * kSecond);
+    for (auto& r : routers) after += r->calls_made;
     return after - before;
   };
-  calls_within(0, 30 * kS);
-  int quiet = calls_within(30 * kS, 60 * kS), refused = calls_within(60 * kS, 68 * kS), most = 0;
+  calls_within(0, 30 * kSecond);
+  int quiet = calls_within(30 * kSecond, 60 * kSecond),
+      refused = calls_within(60 * kSecond, 68 * kSecond), most = 0;
   for (int second = 68; second < 80; ++second)
-    most = std::max(most, calls_within(second * kS, (second + 1) * kS));
+    most = std::max(most, calls_within(second * kSecond, (second + 1) * kSecond));
   RecordProperty("quiet_30s", quiet);
   RecordProperty("refused_8s", refused);
   RecordProperty("most_a_second_after", most);
@@ -586,7 +596,7 @@
       quiet, refused, most);
   EXPECT_LE(quiet, 600);
   EXPECT_LE(refused, 300 * 10);
-  EXPECT_LE(most, 2 * 300);  // a call that is back makes two: at once, and the watch
+  EXPECT_LE(most, 2 * 300);  // each router makes two: the immediate call and the watch
 }
 
 }  // namespace
