--- a/src/core/limit/limits.hpp
+++ b/src/core/limit/limits.hpp
@@ -1,5 +1,6 @@
-// Limits and budgets: how much of something may pass. They decide and do nothing; times come in as
-// microseconds on a clock that does not run backwards (an earlier time counts as the latest seen).
+// Token buckets, limiters, retry budgets, fair shares and failover: they decide how much may pass
+// and do no I/O. Times come in as microseconds of a clock that does not run backwards (an earlier
+// time counts as the latest seen).
 #pragma once
 
 #include <cstdint>
@@ -11,88 +12,90 @@
 
 namespace violetusher::core {
 
-/// A token bucket. Over any window of W seconds no more than rate * W + burst pass.
+/// A token bucket: over any window of W seconds at most rate * W + burst tokens pass.
 class TokenBucket {
  public:
-  /// `rate` a second, above 0; `burst` at least 1. It begins full.
+  /// `rate` in tokens a second, above 0; `burst` at least 1. The bucket starts full.
   TokenBucket(double rate, double burst) : rate_(rate), burst_(burst), tokens_(burst) {}
-  bool take(Micros now, double tokens = 1);
-  /// How long until `tokens` will be there, if nobody else takes any. 0 = now.
+  bool try_consume(Micros now, double tokens = 1);
+  /// Time until `tokens` are available if nobody else consumes any; 0 = now.
   Micros wait(Micros now, double tokens = 1);
-  /// Gives back what was taken for something that did not happen.
-  void give_back(double tokens = 1);
-  /// New figures; what has been used up stays used up.
+  /// Returns tokens that were consumed for something that did not happen.
+  void refund(double tokens = 1);
+  /// Changes rate and burst; tokens already consumed stay consumed.
   void change(double rate, double burst);
 
  private:
-  void fill(Micros now);
+  void refill(Micros now);
   double rate_, burst_, tokens_;
-  Micros at_ = 0;
-  bool begun_ = false;
+  Micros refilled_at_ = 0;
+  bool started_ = false;
 };
 
-/// A limit of an operator file: rate and requests in flight together.
+/// A limit of an operator file: request rate and requests in flight.
 class Limiter {
  public:
   struct Settings {
     double rate = 0;  ///< 0 = none
     double burst = 1;
     std::int64_t in_flight = 0;  ///< 0 = none
-    Micros retry_after = 0;  ///< at least this is told with a refusal; 0 = only what the rate says
+    Micros retry_after = 0;  ///< shortest retry-after of a refusal; 0 = only what the rate gives
   };
   explicit Limiter(const Settings& settings);
-  struct Answer {
+  struct Decision {
     bool admitted = false;
     Micros retry_after = 0;
-    const Limiter* by = nullptr;  ///< who refused
+    const Limiter* refused_by = nullptr;  ///< the limiter that refused
   };
-  /// Admits one request, which release() must end.
-  Answer admit(Micros now);
+  /// Admits one request; release() has to be called at its end.
+  Decision admit(Micros now);
   void release() {
     if (in_flight_ > 0) --in_flight_;
   }
-  /// Takes back an admit() of the same moment whose request was refused elsewhere.
+  /// Reverts an admit() of the same moment whose request another limiter refused.
   void undo();
-  /// A lower limit than what is in flight admits nothing until enough have ended.
+  /// Changes the limits. With more requests in flight than a lowered limit allows, none is admitted
+  /// until enough have ended.
   void change(const Settings& settings);
   std::int64_t in_flight() const { return in_flight_; }
 
  private:
-  Settings set_;
+  Settings settings_;
   TokenBucket bucket_;
   std::int64_t in_flight_ = 0;
 };
 
-/// Admission by several limits: all or none.
-Limiter::Answer admit_all(Micros now, std::span<Limiter* const> limits);
+/// Admits a request by all of several limiters or by none.
+Limiter::Decision admit_all(Micros now, std::span<Limiter* const> limits);
 
-/// Retries as a part of first tries over the last ten seconds, with a floor a second. It can only
-/// say no: whether a retry makes sense is the decision module's to say.
+/// Bounds retries to a fraction of first attempts over the last ten seconds, plus a minimum rate.
+/// The budget can only deny a retry; the decision module decides whether one makes sense.
 class RetryBudget {
  public:
-  RetryBudget(double part, double floor_per_s) : part_(part), floor_(floor_per_s) {}
+  RetryBudget(double fraction, double min_per_s) : fraction_(fraction), min_per_s_(min_per_s) {}
   void on_first_attempt(Micros now);
-  /// True and counted where another retry is within the budget.
-  bool take(Micros now);
-  /// While the pool fails the budget is held to `factor` (0 to 1) of itself.
+  /// Returns true and counts the retry if it is within the budget.
+  bool try_consume(Micros now);
+  /// Scales the budget by `factor` (0 to 1) while the pool fails.
   void tighten(double factor);
 
  private:
   static constexpr Micros kStep = 1'000'000;
   static constexpr int kSteps = 10;
-  void move(Micros now);
-  double part_, floor_, factor_ = 1;
+  void advance(Micros now);
+  double fraction_, min_per_s_, factor_ = 1;
   Micros step_ = -1;
-  double first_[kSteps] = {}, retries_[kSteps] = {};
+  double first_attempts_[kSteps] = {}, retries_[kSteps] = {};
 };
 
-/// Shares of a pool's places in flight by tenant. What one does not use is lent to the others, and
-/// taken back as places come free: a tenant below its share is admitted before all who are above.
+/// Divides a pool's in-flight capacity among tenants. What a tenant does not use is lent to others
+/// and reclaimed as requests end: a tenant below its share is admitted before all that are above
+/// theirs.
 class FairShares {
  public:
-  /// `places`: in flight together, above 0. Shares add up to 1; tenants without one share nothing
-  /// of their own and only borrow.
-  FairShares(std::int64_t places, std::map<std::string, double> shares);
+  /// `capacity`: requests in flight, above 0. Shares add up to 1; tenants without a share can only
+  /// borrow.
+  FairShares(std::int64_t capacity, std::map<std::string, double> shares);
   bool admit(Micros now, const std::string& tenant);
   void release(const std::string& tenant);
   std::int64_t in_flight(const std::string& tenant) const;
@@ -101,37 +104,39 @@
   struct Tenant {
     double share = 0;
     std::int64_t in_flight = 0;
-    Micros wanted_at = 0;  // when it was last turned away or admitted: it is there
+    Micros last_request = 0;  // last time it was admitted or refused
     bool seen = false;
   };
-  std::int64_t places_, used_ = 0;
+  std::int64_t capacity_, used_ = 0;
   std::map<std::string, Tenant> tenants_;
 };
 
-/// Whether a route's traffic falls over to its fallback pool, with hysteresis and a cap.
+/// Decides whether a route's traffic fails over to its fallback pool, with hysteresis and a cap.
 class Fallback {
  public:
   struct Settings {
-    double over_at = 0.5;  ///< part refused by the first pool
-    double back_at = 0.2;
-    double spill = 1;  ///< most of the route's requests that may cross
+    double activate_at = 0.5;  ///< fraction refused by the primary pool above which failover starts
+    double deactivate_at = 0.2;  ///< fraction below which it ends
+    double max_fraction = 1;     ///< largest fraction of the route's requests for the fallback
   };
-  explicit Fallback(const Settings& settings) : set_(settings) {}
-  /// Where the next request goes. `may_cross`: false for a keyed request that may have run in the
-  /// first pool, which must stay in the group that drops its repeats.
-  bool cross(Micros now, bool first_pool_has_live, bool may_cross);
-  /// How a request of the first pool ended.
+  explicit Fallback(const Settings& settings) : settings_(settings) {}
+  /// Returns whether the next request goes to the fallback. `fallback_allowed` is false for a keyed
+  /// request that may have run in the primary pool: it has to stay with the servers that
+  /// deduplicate it.
+  bool use_fallback(Micros now, bool primary_available, bool fallback_allowed);
+  /// Records how a request of the primary pool ended.
   void on_end(Micros now, bool refused);
-  bool over() const { return over_; }
+  bool active() const { return active_; }
 
  private:
-  void move(Micros now);
+  void advance(Micros now);
   static constexpr Micros kStep = 1'000'000;
-  static constexpr double kEnough = 20;  // ends in two steps before a part means anything
-  Settings set_;
-  bool over_ = false;
+  static constexpr double kMinSamples =
+      20;  // requests over two steps below which the fraction is not significant
+  Settings settings_;
+  bool active_ = false;
   Micros step_ = -1;
-  double ends_[2] = {}, refused_[2] = {}, asked_[2] = {}, crossed_[2] = {};
+  double completed_[2] = {}, refused_[2] = {}, requests_[2] = {}, fallback_requests_[2] = {};
 };
 
 }  // namespace violetusher::core
--- a/src/core/route/traffic_policy.cpp
+++ b/src/core/route/traffic_policy.cpp
@@ -12,51 +12,51 @@
 
 }  // namespace
 
-TrafficPolicy::TrafficPolicy(config::Model model, const TrafficPolicy* before)
+TrafficPolicy::TrafficPolicy(config::Model model, const TrafficPolicy* previous)
     : model_(std::move(model)), routing_(model_) {
-  // Each user of a limit counts for itself.
-  auto limiter = [&](User kind, const std::string& user, const std::string& limit) {
+  // Each owner of a limit has its own counters.
+  auto limiter = [&](Owner kind, const std::string& owner, const std::string& limit) {
     if (limit.empty()) return;
     const config::Limit& set = model_.limits.at(limit);
     std::shared_ptr<Limiter> kept;
-    if (before)
-      if (auto it = before->limiters_[kind].find(user); it != before->limiters_[kind].end())
+    if (previous)
+      if (auto it = previous->limiters_[kind].find(owner); it != previous->limiters_[kind].end())
         kept = it->second;
     if (kept)
       kept->change(settings_of(set));
     else
       kept = std::make_shared<Limiter>(settings_of(set));
-    limiters_[kind][user] = kept;
+    limiters_[kind][owner] = kept;
   };
-  auto budgets = [&](User kind, const std::string& user, const std::string& budget) {
+  auto budgets = [&](Owner kind, const std::string& owner, const std::string& budget) {
     if (budget.empty()) return;
     const config::Budget& set = model_.budgets.at(budget);
-    if (before)
-      if (auto it = before->budgets_[kind].find(user);
-          it != before->budgets_[kind].end() && it->second.set == set) {
-        budgets_[kind][user] = it->second;
+    if (previous)
+      if (auto it = previous->budgets_[kind].find(owner);
+          it != previous->budgets_[kind].end() && it->second.set == set) {
+        budgets_[kind][owner] = it->second;
         return;
       }
-    budgets_[kind][user] = {set, std::make_shared<RetryBudget>(set.retries, set.floor),
-                            std::make_shared<RetryBudget>(set.hedges, 0),
-                            std::make_shared<PoolTrouble>()};
+    budgets_[kind][owner] = {set, std::make_shared<RetryBudget>(set.retries, set.floor),
+                             std::make_shared<RetryBudget>(set.hedges, 0),
+                             std::make_shared<PoolFailureRate>()};
   };
-  // Where all are of one worth there is nothing to order.
+  // With equal worth for all classes there is nothing to shed by.
   std::map<std::string, std::int64_t> worth;
   bool differ = false;
   for (const auto& [name, c] : model_.classes) worth[name] = c.worth, differ |= c.worth != 1;
-  bool same_worth = before && before->model_.classes == model_.classes;
+  bool same_worth = previous && previous->model_.classes == model_.classes;
   for (const auto& [name, t] : model_.tenants) limiter(kTenant, name, t.limit);
   for (const auto& [name, c] : model_.classes) limiter(kClass, name, c.limit);
   for (const auto& [name, r] : model_.routes) {
     limiter(kRoute, name, r.limit);
     budgets(kRoute, name, r.budget);
     if (r.fallbacks.empty()) continue;
-    if (before) {
-      auto it = before->model_.routes.find(name);
-      auto kept = before->fallbacks_.find(name);
-      if (it != before->model_.routes.end() && it->second == r &&
-          kept != before->fallbacks_.end()) {
+    if (previous) {
+      auto it = previous->model_.routes.find(name);
+      auto kept = previous->fallbacks_.find(name);
+      if (it != previous->model_.routes.end() && it->second == r &&
+          kept != previous->fallbacks_.end()) {
         fallbacks_[name] = kept->second;
         continue;
       }
@@ -67,19 +67,20 @@
   for (const auto& [name, p] : model_.pools) {
     limiter(kPool, name, p.limit);
     if (differ && !p.limit.empty()) {
-      auto kept = same_worth ? before->worth_.find(name) : decltype(worth_)::const_iterator{};
-      worth_[name] = same_worth && kept != before->worth_.end()
-                         ? kept->second
-                         : std::make_shared<WorthOrder>(worth);
+      auto kept = same_worth ? previous->load_shedders_.find(name)
+                             : decltype(load_shedders_)::const_iterator{};
+      load_shedders_[name] = same_worth && kept != previous->load_shedders_.end()
+                                 ? kept->second
+                                 : std::make_shared<LoadShedder>(worth);
     }
     budgets(kPool, name, p.budget);
     if (p.shares.empty() || p.limit.empty()) continue;
     const config::Limit& set = model_.limits.at(p.limit);
     if (set.in_flight == 0) continue;
-    if (before) {
-      auto it = before->shares_.find(name);
-      auto old = before->model_.pools.find(name);
-      if (it != before->shares_.end() && it->second.first == set &&
+    if (previous) {
+      auto it = previous->shares_.find(name);
+      auto old = previous->model_.pools.find(name);
+      if (it != previous->shares_.end() && it->second.first == set &&
           old->second.shares == p.shares) {
         shares_[name] = it->second;
         continue;
@@ -96,18 +97,19 @@
   return it == map.end() ? nullptr : &it->first;
 }
 
-/// Looks up once all that the request's life will touch; no allocation but for a long tenant.
-void TrafficPolicy::find_holdings(const RouteRequest& request, Ticket& t) {
-  const std::string_view users[] = {request.tenant, request.type, *t.route, *t.pool};
-  for (std::size_t kind = 0; kind < kUsers; ++kind)
-    if (auto it = limiters_[kind].find(users[kind]); it != limiters_[kind].end())
+/// Looks up everything that the request will use during its life; allocates only for a long tenant
+/// name.
+void TrafficPolicy::resolve_limits(const RouteRequest& request, Ticket& t) {
+  const std::string_view owners[] = {request.tenant, request.type, *t.route, *t.pool};
+  for (std::size_t kind = 0; kind < kOwnerKinds; ++kind)
+    if (auto it = limiters_[kind].find(owners[kind]); it != limiters_[kind].end())
       t.limiters[t.limits++] = it->second.get();
   if (auto it = shares_.find(*t.pool); it != shares_.end()) {
     t.shares = it->second.second.get();
     t.tenant = request.tenant;
   }
-  for (User kind : {kPool, kRoute})  // the route's comes before its pool's
-    if (auto it = budgets_[kind].find(users[kind]); it != budgets_[kind].end())
+  for (Owner kind : {kPool, kRoute})  // the route's budget overrides its pool's
+    if (auto it = budgets_[kind].find(owners[kind]); it != budgets_[kind].end())
       t.budgets = &it->second;
 }
 
@@ -120,39 +122,40 @@
   d.ticket.pool = name_in(model_.pools, route.pool);
   if (auto it = fallbacks_.find(*d.ticket.route); it != fallbacks_.end()) {
     d.ticket.fallback = it->second.get();
-    // The first fallback that has anybody. A keyed write may be a till's second try of one that has
-    // run in the first pool: it goes only where its repeat would be dropped.
+    // The first fallback with a live server. A keyed write may be a client's retry of one that has
+    // run in the primary pool: it goes only where duplicates are dropped.
     const std::string* to = nullptr;
     for (const std::string& f : route.fallbacks)
       if (!to && pools.has_live(f) &&
           (!keyed || (pools.shares_deduplication(f) && pools.shares_deduplication(route.pool))))
         to = name_in(model_.pools, f);
-    if (it->second->cross(now, pools.has_live(route.pool), to != nullptr)) {
+    if (it->second->use_fallback(now, pools.has_live(route.pool), to != nullptr)) {
       d.ticket.pool = to;
-      d.ticket.crossed = true;
+      d.ticket.on_fallback = true;
     }
   }
-  find_holdings(request, d.ticket);
-  Limiter::Answer answer = admit_by_worth(now, request, d.ticket);
-  d.admitted = d.ticket.holds = answer.admitted;
+  resolve_limits(request, d.ticket);
+  Limiter::Decision answer = admit_with_shedding(now, request, d.ticket);
+  d.admitted = d.ticket.admitted = answer.admitted;
   d.retry_after = answer.retry_after;
   return d;
 }
 
-/// Asks the limits and the shares, unless the request must give way to worthier ones.
-Limiter::Answer TrafficPolicy::admit_by_worth(Micros now, const RouteRequest& request,
-                                              const Ticket& ticket) {
-  auto it = worth_.find(*ticket.pool);
-  WorthOrder* worth = it == worth_.end() ? nullptr : it->second.get();
-  if (worth && !worth->may_ask(now, request.type))
+/// Applies the limits and the shares, unless the request is shed in favour of classes of higher
+/// worth.
+Limiter::Decision TrafficPolicy::admit_with_shedding(Micros now, const RouteRequest& request,
+                                                     const Ticket& ticket) {
+  auto it = load_shedders_.find(*ticket.pool);
+  LoadShedder* worth = it == load_shedders_.end() ? nullptr : it->second.get();
+  if (worth && !worth->may_request(now, request.type))
     return {false, model_.limits.at(model_.pools.at(*ticket.pool).limit).retry_after};
-  Limiter::Answer answer = admit_all(now, ticket.limiters_held());
-  // A limit of its own, of a tenant, class or route, says nothing of the pool.
+  Limiter::Decision answer = admit_all(now, ticket.active_limiters());
+  // A refusal by the limit of a tenant, class or route is no sign of load on the pool.
   bool by_pool = false;
   if (auto pool = limiters_[kPool].find(*ticket.pool); pool != limiters_[kPool].end())
-    by_pool = !answer.admitted && answer.by == pool->second.get();
+    by_pool = !answer.admitted && answer.refused_by == pool->second.get();
   if (answer.admitted && ticket.shares && !ticket.shares->admit(now, ticket.tenant)) {
-    for (Limiter* l : ticket.limiters_held()) l->undo();
+    for (Limiter* l : ticket.active_limiters()) l->undo();
     answer = {false, shares_.find(*ticket.pool)->second.first.retry_after};
     by_pool = true;
   }
@@ -163,18 +166,18 @@
 void TrafficPolicy::on_attempt_end(Micros now, const Ticket& ticket, bool failed) {
   Budgets* b = ticket.budgets;
   if (!b) return;
-  b->trouble->on_end(now, failed);
-  double factor = b->trouble->factor(now);
+  b->failure_rate->on_end(now, failed);
+  double factor = b->failure_rate->factor(now);
   b->retries->tighten(factor);
   b->hedges->tighten(factor);
 }
 
 void TrafficPolicy::end(Micros now, Ticket& ticket, bool refused) {
-  if (!ticket.holds) return;
-  ticket.holds = false;
-  for (Limiter* l : ticket.limiters_held()) l->release();
+  if (!ticket.admitted) return;
+  ticket.admitted = false;
+  for (Limiter* l : ticket.active_limiters()) l->release();
   if (ticket.shares) ticket.shares->release(ticket.tenant);
-  if (ticket.fallback && !ticket.crossed) ticket.fallback->on_end(now, refused);
+  if (ticket.fallback && !ticket.on_fallback) ticket.fallback->on_end(now, refused);
 }
 
 void TrafficPolicy::on_first_attempt(Micros now, const Ticket& ticket) {
@@ -185,11 +188,11 @@
 
 bool TrafficPolicy::may_retry(Micros now, const Ticket& ticket, bool hedge) {
   const Budgets* b = ticket.budgets;
-  return !b || (hedge ? b->hedges : b->retries)->take(now);
+  return !b || (hedge ? b->hedges : b->retries)->try_consume(now);
 }
 
 bool matches(std::string_view pattern, std::string_view text) {
-  // Of each star only the last one has to be tried again: linear in practice, bounded always.
+  // Only the last star is ever retried: linear in practice, and always bounded.
   std::size_t p = 0, t = 0, star = pattern.npos, mark = 0;
   while (t < text.size()) {
     if (p < pattern.size() && pattern[p] == '*') {
--- a/tests/core/route/route_table_test.cpp
+++ b/tests/core/route/route_table_test.cpp
@@ -1,4 +1,4 @@
-// The route table against the plainest way of looking: all routes, one after the other.
+// Compares the route table with a linear search over all routes.
 #include "core/route/route_table.hpp"
 
 #include <gtest/gtest.h>
@@ -7,8 +7,9 @@
 namespace violetusher::core {
 namespace {
 
-/// The stated order by hand: listener, tenant, class, longest prefix; the first of equals.
-std::uint32_t plain(const std::vector<RouteMatch>& routes, const RouteRequest& r) {
+/// The documented order by linear search: listener, tenant, class, longest prefix; the first of
+/// equals.
+std::uint32_t linear_search(const std::vector<RouteMatch>& routes, const RouteRequest& r) {
   std::uint32_t best = RouteTable::kNone;
   auto rank = [](const RouteMatch& m) {
     return std::tuple(!m.listener.empty(), !m.tenant.empty(), !m.type.empty(), m.prefix.size());
@@ -30,7 +31,7 @@
   });
 }
 
-RC_GTEST_PROP(RouteTable, FindsWhatThePlainWayFinds, ()) {
+RC_GTEST_PROP(RouteTable, AgreesWithALinearSearch, ()) {
   auto routes = *rc::gen::container<std::vector<RouteMatch>>(
       rc::gen::build<RouteMatch>(rc::gen::set(&RouteMatch::listener, word("x", 1)),
                                  rc::gen::set(&RouteMatch::tenant, word("ab", 1)),
@@ -40,15 +41,15 @@
   for (int k = 0; k < 20; ++k) {
     auto l = *word("xy", 1), t = *word("abz", 1), c = *word("cdz", 1), key = *word("pqr", 8);
     RouteRequest r{l, t, c, key};
-    RC_ASSERT(table.find(r) == plain(routes, r));
+    RC_ASSERT(table.find(r) == linear_search(routes, r));
   }
 }
 
-TEST(RouteTable, NoRoutesNoRoute) {
+TEST(RouteTable, AnEmptyTableHasNoRoute) {
   EXPECT_EQ(RouteTable({}).find({"l", "t", "c", "k"}), RouteTable::kNone);
 }
 
-TEST(PrefixIndex, WalksUpToTheLongestThatFits) {
+TEST(PrefixIndex, FindsTheLongestMatchingPrefix) {
   PrefixIndex index;
   index.add("", 0), index.add("a", 1), index.add("abc", 2), index.add("abd", 3),
       index.add("abcdef", 4), index.add("a", 9);
