--- a/src/core/guard/invariants.cpp
+++ b/src/core/guard/invariants.cpp
@@ -5,12 +5,12 @@
 namespace violetusher::core {
 namespace {
 
-// What a server may be told beyond the client's time: a hold-up between clock and write.
-constexpr Micros kTimeSlack = 150'000;
+// Slack over the client's deadline, for a delay between reading the clock and writing.
+constexpr Micros kDeadlineSlack = 150'000;
 
-/// A client that takes nothing has given its answers up, and a value that is cut off is told by the
-/// close.
-bool may_owe(CloseReason reason) {
+/// Closes that may leave a response pending: a client that stops reading has given its answers up,
+/// and a truncated value can only be signalled by the close.
+bool may_leave_pending(CloseReason reason) {
   return reason == CloseReason::kClientClosed || reason == CloseReason::kStalled ||
          reason == CloseReason::kValueTruncated;
 }
@@ -39,28 +39,31 @@
 }
 
 void InvariantChecker::on_attempt_start(const AttemptStart& a) {
-  check(a.server_available, Invariant::kSentToWanted, a.request, a.server,
-        "the server was told to leave");
-  check(a.request_open, Invariant::kSentForOpen, a.request, a.server,
-        "nobody waits for the answer");
-  check(!a.hedge || a.hedges_allowed, Invariant::kOneCopy, a.request, a.server,
-        "another attempt is out");
-  check(!a.request_open || a.sent_deadline <= a.deadline + kTimeSlack, Invariant::kTimeTold,
-        a.request, a.server, "more than the client's time was told");
+  check(a.server_available, Invariant::kSentToAvailableServer, a.request, a.server,
+        "the server is draining or removed");
+  check(a.request_open, Invariant::kSentForOpenRequest, a.request, a.server,
+        "the request is already answered or its client is gone");
+  check(!a.hedge || a.hedges_allowed, Invariant::kHedgeAllowed, a.request, a.server,
+        "another attempt is in flight and hedging is not allowed");
+  check(!a.request_open || a.sent_deadline <= a.deadline + kDeadlineSlack,
+        Invariant::kDeadlineNotExtended, a.request, a.server,
+        "the server was sent a later deadline than the client's");
 }
 
 void InvariantChecker::on_final_response(RequestId request, bool first) {
-  check(first, Invariant::kOneAnswer, request, "client", "a second final answer was stopped");
+  check(first, Invariant::kSingleFinalAnswer, request, "client",
+        "a second final answer was suppressed");
 }
 
-void InvariantChecker::on_close(CloseReason reason, std::size_t owed, RequestId request) {
+void InvariantChecker::on_close(CloseReason reason, std::size_t pending, RequestId request) {
   ++closes_[static_cast<std::size_t>(reason)];
-  check(owed == 0 || may_owe(reason), Invariant::kAnsweredBeforeClose, request, "client",
-        name_of(reason));
+  check(pending == 0 || may_leave_pending(reason), Invariant::kAnsweredBeforeClose, request,
+        "client", name_of(reason));
 }
 
 void InvariantChecker::on_start(bool bans_known) {
-  check(bans_known, Invariant::kBansBeforeStart, 0, "clients", "bans are not read");
+  check(bans_known, Invariant::kBansLoadedBeforeStart, 0, "clients",
+        "the banned servers are not known yet");
 }
 
 std::uint64_t InvariantChecker::total() const {
--- a/src/core/guard/invariants.hpp
+++ b/src/core/guard/invariants.hpp
@@ -1,5 +1,5 @@
-// The invariants of one router, checked where it sends, answers, closes and starts. It decides
-// nothing: what breaks one is counted and told. No I/O and no clock.
+// Runtime checks of one router's invariants, made where it sends, answers, closes and starts. They
+// decide nothing: violations are counted and reported. No I/O and no clock.
 #pragma once
 
 #include <array>
@@ -13,67 +13,71 @@
 
 namespace violetusher::core {
 
+/// What must hold at each of the checks.
 enum class Invariant : std::uint8_t {
-  kSentToWanted,         ///< no attempt begins at a server that was told to leave
-  kSentForOpen,          ///< nor for a request that has its answer, or whose client has gone
-  kOneCopy,              ///< nor beside another one, where a request may have one alone
-  kTimeTold,             ///< a server is told no more than the time that is left
-  kOneAnswer,            ///< a request gets one final answer
-  kAnsweredBeforeClose,  ///< a connection on which an answer is owed is not closed by the router
-  kBansBeforeStart,      ///< no client is taken before it is known which servers are out
+  kSentToAvailableServer,  ///< no attempt starts at a server that is draining or removed
+  kSentForOpenRequest,     ///< nor for a request that is answered or whose client has disconnected
+  kHedgeAllowed,           ///< nor beside another attempt of a request that may not be hedged
+  kDeadlineNotExtended,    ///< a server is sent no more time than the request has left
+  kSingleFinalAnswer,      ///< a request gets one final answer
+  kAnsweredBeforeClose,    ///< the router does not close a connection with a pending response
+  kBansLoadedBeforeStart,  ///< no client is accepted before the banned servers are known
   kCount,
 };
 
 /// Why the router closed a client's connection.
 enum class CloseReason : std::uint8_t {
   kClientClosed,    ///< the client closed or broke it
-  kAnswered,        ///< the last answer was owed a close
-  kIdle,            ///< it rested too long
-  kCommandTimeout,  ///< a command did not come whole in time
-  kStalled,         ///< the client took none of its answer
-  kEvicted,         ///< another connection needed its place
-  kBufferLimit,     ///< too much is held for all clients
-  kValueTruncated,  ///< a long value can't be finished
-  kStopping,        ///< the router ends
+  kAnswered,        ///< closed after the last answer
+  kIdle,            ///< it was idle for too long
+  kCommandTimeout,  ///< a command was not received in full in time
+  kStalled,         ///< the client read none of its answer
+  kEvicted,         ///< evicted to make room for another connection
+  kBufferLimit,     ///< the buffers of all clients reached their limit
+  kValueTruncated,  ///< a long value can't be completed
+  kStopping,        ///< the router shuts down
   kCount,
 };
 
+/// Names as counted in DUMP.
 const char* name_of(Invariant invariant);
 const char* name_of(CloseReason reason);
 
+/// A violated invariant.
 struct Violation {
   Invariant invariant;
-  RequestId request = 0;   ///< 0: of none
-  std::string connection;  ///< whom it leads to
+  RequestId request = 0;   ///< 0: none
+  std::string connection;  ///< the peer of the connection
   std::string what;
 };
 
+/// Checks the invariants and counts violations and closes.
 class InvariantChecker {
  public:
   using Report = std::function<void(const Violation&)>;
   template <typename Of>
   using Counts = std::array<std::uint64_t, static_cast<std::size_t>(Of::kCount)>;
 
-  /// Whoever is told of each violation; nobody by default.
+  /// Sets the callback for violations; none by default.
   void on_violation(Report report) { report_ = std::move(report); }
 
-  /// An attempt's first byte has been written.
+  /// State at the moment when an attempt's first byte has been written.
   struct AttemptStart {
     RequestId request = 0;
     std::string_view server;
-    bool server_available = true;  ///< the server takes anything new
-    bool request_open = true;      ///< somebody waits for the answer
-    bool hedge = false;            ///< another attempt is out
+    bool server_available = true;  ///< the server accepts new requests
+    bool request_open = true;      ///< the request is still unanswered
+    bool hedge = false;            ///< another attempt is in flight
     bool hedges_allowed = true;
-    Micros sent_deadline = 0;  ///< what the server was told ends then
-    Micros deadline = 0;       ///< the client's time
+    Micros sent_deadline = 0;  ///< deadline that the server was sent
+    Micros deadline = 0;       ///< deadline of the client
   };
   void on_attempt_start(const AttemptStart& attempt);
-  /// A final answer is given; `first`: there was none before.
+  /// A final answer is sent; `first`: there was none before.
   void on_final_response(RequestId request, bool first);
-  /// A client's connection is closed while it waits for the answers of `owed` requests.
-  void on_close(CloseReason reason, std::size_t owed, RequestId request);
-  /// Clients are taken from now on.
+  /// A client's connection is closed with `pending` unanswered requests on it.
+  void on_close(CloseReason reason, std::size_t pending, RequestId request);
+  /// Clients are accepted from now on.
   void on_start(bool bans_known);
 
   const Counts<Invariant>& violations() const { return violations_; }
--- a/src/core/ops/metrics.cpp
+++ b/src/core/ops/metrics.cpp
@@ -37,7 +37,7 @@
       for (std::size_t k = 0; k < counts.size(); ++k)
         to[name_of(static_cast<decltype(first)>(k))] = counts[k];
     };
-    by_name("violations", now.guard->violations(), Invariant::kSentToWanted);
+    by_name("violations", now.guard->violations(), Invariant::kSentToAvailableServer);
     by_name("closes", now.guard->closes(), CloseReason::kClientClosed);
   }
   return all.dump(-1, ' ', true, nlohmann::ordered_json::error_handler_t::replace);
--- a/src/core/ops/metrics.hpp
+++ b/src/core/ops/metrics.hpp
@@ -1,4 +1,4 @@
-// What the router reports of itself: counts since the start, and how it stands now.
+// Metrics of the router: counters since the start, and gauges.
 #pragma once
 
 #include <cstdint>
@@ -9,23 +9,25 @@
 
 namespace violetusher::core::ops {
 
+/// Counts the ends of requests by class and formats the report.
 class Metrics {
  public:
+  /// How a request ended.
   enum class Outcome { kSuccess, kOverload, kError };
-  /// How things stand at the moment of a report.
+  /// Values at the moment of a report.
   struct Gauges {
-    std::size_t concurrent = 0;               ///< requests taken and not ended
+    std::size_t concurrent = 0;               ///< requests in progress
     std::size_t targets = 0;                  ///< cache servers on the list
-    std::size_t targets_disabled = 0;         ///< of them, those that the router avoids
-    std::uint64_t dispatches = 0;             ///< attempts written whole
-    std::int64_t list_age_ms = 0;             ///< since discovery last showed what the list is
-    const InvariantChecker* guard = nullptr;  ///< of invariants and closes; none where null
+    std::size_t targets_disabled = 0;         ///< of them, those that the router does not use
+    std::uint64_t dispatches = 0;             ///< attempts written in full
+    std::int64_t list_age_ms = 0;             ///< since discovery last confirmed the list
+    const InvariantChecker* guard = nullptr;  ///< counts of invariants and closes; left out if null
   };
 
-  /// A class is reported from here on, with zeros before its first request. Classes that settings
-  /// drop go on being reported: their counts never fall.
+  /// Reports a class from now on, with zeros before its first request. Classes that settings drop
+  /// are still reported, so that their counters never decrease.
   void add_class(const std::string& name);
-  /// A request of the class, which add_class() has named, has ended; of another one it is nothing.
+  /// Counts the end of a request; ignored for a class that add_class() has not named.
   void count(const std::string& name, Outcome end);
   void count_reload(bool accepted) { ++(accepted ? reload_success_ : reload_failure_); }
 
@@ -36,7 +38,7 @@
   struct Counts {
     std::uint64_t success = 0, overload = 0, error = 0;
   };
-  // Files with ever new classes don't grow it for ever: beyond, new ones go unreported.
+  // Bounds memory where files keep adding classes: further ones are not reported.
   static constexpr std::size_t kMaxClasses = 1024;
   std::map<std::string, Counts> classes_;
   std::uint64_t reload_success_ = 0, reload_failure_ = 0;
--- a/src/core/ops/operator_command.cpp
+++ b/src/core/ops/operator_command.cpp
@@ -15,8 +15,8 @@
 
 }  // namespace
 
-bool good_id(std::string_view id) {
-  return !id.empty() && id.size() <= kMaxId &&
+bool is_valid_id(std::string_view id) {
+  return !id.empty() && id.size() <= kMaxIdBytes &&
          std::all_of(id.begin(), id.end(), [](unsigned char c) { return c > 32 && c < 127; });
 }
 
@@ -38,7 +38,7 @@
   } else if (verb == "OFFLINE" || verb == "ONLINE") {
     call.kind = verb == "ONLINE" ? OperatorCommand::Kind::kOnline : OperatorCommand::Kind::kOffline;
     call.id = id;
-    if (good_id(id)) return call;
+    if (is_valid_id(id)) return call;
     error = verb + " needs the id of a cache server";
   } else {
     error = "calls are HEALTH, DUMP, OFFLINE ID and ONLINE ID";
--- a/src/core/ops/operator_command.hpp
+++ b/src/core/ops/operator_command.hpp
@@ -1,4 +1,4 @@
-// What an operator asks of the router: one line a call.
+// Operator commands: one line each.
 #pragma once
 
 #include <optional>
@@ -7,20 +7,22 @@
 
 namespace violetusher::core::ops {
 
-constexpr std::size_t kMaxCommandBytes = 512;  ///< bytes of a call's line, its end included
-constexpr std::size_t kMaxId = 250;            ///< bytes of a cache server's id
+constexpr std::size_t kMaxCommandBytes = 512;  ///< bytes of a command line, including its end
+constexpr std::size_t kMaxIdBytes = 250;       ///< bytes of a cache server's id
 
+/// A parsed operator command.
 struct OperatorCommand {
   enum class Kind { kHealth, kDump, kOffline, kOnline };
   Kind kind = Kind::kHealth;
-  std::string id;  ///< of kOffline and kOnline
+  std::string id;  ///< for kOffline and kOnline
 };
 
-/// The call that `line` (without its end) makes; nothing with the reason in `error` where it is
-/// none. Words may stand apart by any number of spaces; letters of either case.
+/// Parses `line` (without its end). Returns nothing, with the reason in `error`, if it is not a
+/// command. Words may be separated by any number of spaces; case is ignored.
 std::optional<OperatorCommand> parse_command(std::string_view line, std::string& error);
 
-/// Whether the text may be a cache server's id: printable, no spaces, of a length that can be kept.
-bool good_id(std::string_view id);
+/// Returns whether the text can be the id of a cache server: printable, no spaces, at most
+/// kMaxIdBytes.
+bool is_valid_id(std::string_view id);
 
 }  // namespace violetusher::core::ops
--- a/src/core/ops/settings_update.cpp
+++ b/src/core/ops/settings_update.cpp
@@ -6,23 +6,23 @@
 namespace violetusher::core::ops {
 namespace {
 
-bool number(std::string_view word) {
+bool is_number(std::string_view word) {
   return !word.empty() &&
          std::all_of(word.begin(), word.end(), [](char c) { return c >= '0' && c <= '9'; });
 }
 
-/// The path up to its last place in a list ("Classes.2"), and what comes behind ("Name").
-struct Split {
+/// A path split at its last list index: the entry ("Classes.2") and the rest ("Name").
+struct PathParts {
   std::string entry, list, name;  // "Classes.2", "Classes", "Name"; all but name empty without one
 };
 
-Split split(const std::string& path) {
+PathParts split_path(const std::string& path) {
   std::size_t end = path.size();
   while (true) {
     std::size_t dot = end == 0 ? path.npos : path.rfind('.', end - 1);
     if (dot == path.npos) return {{}, {}, path};
     std::string_view word(path.data() + dot + 1, end - dot - 1);
-    if (number(word) && end < path.size())
+    if (is_number(word) && end < path.size())
       return {path.substr(0, end), path.substr(0, dot), path.substr(end + 1)};
     end = dot;
   }
@@ -38,22 +38,23 @@
 
 std::string missing_path(const std::vector<std::string>& shape,
                          const std::vector<std::string>& paths) {
-  std::map<std::string, std::set<std::string>> wanted;  // by list; without one, of the whole
+  std::map<std::string, std::set<std::string>>
+      required;  // required names by list; the empty list is the top level
   for (const std::string& path : shape) {
-    Split at = split(path);
-    wanted[at.list].insert(at.name);
+    PathParts at = split_path(path);
+    required[at.list].insert(at.name);
   }
   std::map<std::string, std::set<std::string>> entries;  // names by entry
   std::map<std::string, std::string> lists;              // of each entry
   for (const std::string& path : paths) {
-    Split at = split(path);
+    PathParts at = split_path(path);
     entries[at.entry].insert(at.name);
     lists[at.entry] = at.list;
   }
   entries[std::string()];
   for (const auto& [entry, names] : entries) {
-    auto it = wanted.find(lists[entry]);
-    if (it == wanted.end()) continue;
+    auto it = required.find(lists[entry]);
+    if (it == required.end()) continue;
     for (const std::string& name : it->second)
       if (!names.count(name)) return entry.empty() ? name : entry + "." + name;
   }
@@ -61,20 +62,21 @@
 }
 
 std::string settings_error(const Settings& settings) {
-  if (settings.classes.empty()) return "no classes";
+  if (settings.classes.empty()) return "at least one class is required";
   std::set<std::string> names;
   for (const ClassSettings& c : settings.classes) {
-    if (c.name.empty()) return "a class without a name";
-    if (!names.insert(c.name).second) return "class '" + c.name + "' comes twice";
-    if (c.deadline <= 0) return "class '" + c.name + "': deadline not over 0";
+    if (c.name.empty()) return "a class has no name";
+    if (!names.insert(c.name).second) return "class '" + c.name + "' is defined twice";
+    if (c.deadline <= 0) return "class '" + c.name + "': deadline must be above 0";
   }
-  if (settings.max_attempts <= 0) return "attempts not over 0";
+  if (settings.max_attempts <= 0) return "the number of attempts must be above 0";
   names.clear();
   for (const TenantSettings& t : settings.tenants) {
-    if (t.name.empty()) return "a tenant without a name";
-    if (!names.insert(t.name).second) return "tenant '" + t.name + "' comes twice";
-    if (!(t.portion >= 0 && t.portion <= 1)) return "tenant '" + t.name + "': portion not 0 to 1";
-    if (!(t.quota_per_s >= 0)) return "tenant '" + t.name + "': quota under 0";
+    if (t.name.empty()) return "a tenant has no name";
+    if (!names.insert(t.name).second) return "tenant '" + t.name + "' is defined twice";
+    if (!(t.portion >= 0 && t.portion <= 1))
+      return "tenant '" + t.name + "': portion must be between 0 and 1";
+    if (!(t.quota_per_s >= 0)) return "tenant '" + t.name + "': quota must not be below 0";
   }
   return {};
 }
--- a/tests/core/ops/ops_test.cpp
+++ b/tests/core/ops/ops_test.cpp
@@ -1,4 +1,4 @@
-// Operators' calls, the figures, and settings that change while the router runs.
+// Operator commands, metrics, and settings updates at run time.
 #include <gtest/gtest.h>
 #include <rapidcheck/gtest.h>
 
@@ -12,7 +12,7 @@
 namespace violetusher::core::ops {
 namespace {
 
-TEST(OperatorCommand, TakesWhatIsMeantAndNothingElse) {
+TEST(OperatorCommand, ParsesValidCommandsOnly) {
   std::string error;
   EXPECT_EQ(parse_command("HEALTH", error)->kind, OperatorCommand::Kind::kHealth);
   EXPECT_EQ(parse_command(" dump ", error)->kind, OperatorCommand::Kind::kDump);
@@ -31,14 +31,14 @@
   }
 }
 
-TEST(Metrics, CountsByClassAndNeverFalls) {
+TEST(Metrics, CountersByClassNeverDecrease) {
   Metrics figures;
   figures.add_class("read");
   figures.count("read", Metrics::Outcome::kSuccess);
   figures.count("read", Metrics::Outcome::kOverload);
   figures.count("read", Metrics::Outcome::kSuccess);
   figures.count("unheard of", Metrics::Outcome::kError);
-  figures.add_class("read");  // told again by new settings
+  figures.add_class("read");  // added again by new settings
   figures.add_class("put");
   figures.count_reload(true);
   figures.count_reload(false);
@@ -64,20 +64,20 @@
                                          "settings.Classes.1.Name",
                                          "settings.Classes.1.DeadlineUs"};
 
-RC_GTEST_PROP(Retune, EveryPathThatIsMissingIsNamed, ()) {
+RC_GTEST_PROP(SettingsUpdate, EveryMissingPathIsNamed, ()) {
   auto paths = kShape;
-  for (int k = *rc::gen::inRange(0, 3); k > 0; --k) {  // more classes than before are no fault
+  for (int k = *rc::gen::inRange(0, 3); k > 0; --k) {  // additional classes are allowed
     paths.push_back("settings.Classes." + std::to_string(k + 1) + ".Name");
     paths.push_back("settings.Classes." + std::to_string(k + 1) + ".DeadlineUs");
   }
   RC_ASSERT(missing_path(kShape, paths).empty());
   auto at = *rc::gen::inRange<std::size_t>(0, paths.size());
-  std::string gone = paths[at];
+  std::string removed = paths[at];
   paths.erase(paths.begin() + static_cast<std::ptrdiff_t>(at));
-  RC_ASSERT(missing_path(kShape, paths) == gone);
+  RC_ASSERT(missing_path(kShape, paths) == removed);
 }
 
-TEST(Retune, AClassFewerIsNoPathMissing) {
+TEST(SettingsUpdate, ARemovedClassIsNoMissingPath) {
   auto paths = kShape;
   paths.resize(paths.size() - 2);
   EXPECT_EQ(missing_path(kShape, paths), "");
@@ -98,15 +98,15 @@
       });
 }
 
-/// May a second attempt go out under these rules, `age` after one at a server of another zone, of
-/// another cell of the same zone, or of the same cell?
+/// Returns whether a second attempt is allowed under these rules, `age` after one at a server of
+/// another zone, of another cell of the same zone, or of the same cell.
 bool may_repeat(const ClassSettings& c, Group distance, Micros age) {
   if (c.effect == Effect::Repeatable) return true;
   if (c.effect == Effect::Once || age >= c.key_ttl) return false;
   return static_cast<int>(c.group) <= static_cast<int>(distance);
 }
 
-RC_GTEST_PROP(Retune, WhileBothBindNothingIsAllowedThatOneForbids, ()) {
+RC_GTEST_PROP(SettingsUpdate, ATransitionAllowsNothingThatEitherForbids, ()) {
   Settings from, to;
   from.classes = {*any_class("a"), *any_class("gone")};
   to.classes = {*any_class("new"), *any_class("a")};
@@ -125,7 +125,7 @@
                   may_repeat(to.classes[1], distance, age));
 }
 
-TEST(Retune, SettingsThatCantBeUsed) {
+TEST(SettingsUpdate, UnusableSettingsHaveAnError) {
   Settings good;
   good.classes.resize(1);
   good.classes[0].name = "read";
