--- a/src/core/log/line.cpp
+++ b/src/core/log/line.cpp
@@ -8,14 +8,13 @@
 namespace violetusher::core::log {
 namespace {
 
-constexpr std::size_t kMostText = 3000;  // bytes of the message, as written
-constexpr std::size_t kMostField = 200;  // bytes of a field, as written
-constexpr std::size_t kMostFields = 3;   // so that the line always fits
+constexpr std::size_t kMaxTextBytes = 3000;  // bytes of the message after escaping
+constexpr std::size_t kMaxFieldBytes = 200;  // bytes of a field after escaping
+constexpr std::size_t kMaxFields = 3;        // so that the line always fits kMaxLineBytes
 constexpr const char* kLevels[] = {"info", "warn", "error"};
 
-/// Bytes of the UTF-8 sequence at the start of `text`; 0 where it is none that may be written as it
-/// is.
-std::size_t sequence(std::string_view text) {
+/// Returns the size of the UTF-8 sequence at the start of `text`; 0 if it has to be escaped.
+std::size_t utf8_sequence_length(std::string_view text) {
   auto byte = [&](std::size_t k) { return static_cast<unsigned char>(text[k]); };
   auto follows = [&](std::size_t k) { return k < text.size() && (byte(k) & 0xc0) == 0x80; };
   if (byte(0) < 0x80) return byte(0) >= 0x20 && byte(0) != 0x7f ? 1 : 0;
@@ -34,13 +33,13 @@
   return 0;
 }
 
-/// `text` with everything escaped that could end a line, a quoted text or reach a terminal, at most
-/// `most` bytes; what is cut off ends in three dots.
-void append_escaped(std::string& out, std::string_view text, std::size_t most, bool quotes) {
-  std::size_t stop = out.size() + most;
+/// Appends `text`, with everything escaped that could end a line or a quoted string or reach a
+/// terminal, in at most `max_bytes` bytes; truncated text ends in three dots.
+void append_escaped(std::string& out, std::string_view text, std::size_t max_bytes, bool quotes) {
+  std::size_t stop = out.size() + max_bytes;
   while (!text.empty()) {
     char escape[8];
-    std::size_t size = sequence(text);
+    std::size_t size = utf8_sequence_length(text);
     std::string_view piece = text.substr(0, std::max<std::size_t>(size, 1));
     if (size == 0) {
       std::snprintf(escape, sizeof escape, "\\u%04x", static_cast<unsigned char>(text[0]));
@@ -69,9 +68,9 @@
   return whole;
 }
 
-void append_quoted(std::string& out, std::string_view text, std::size_t most) {
+void append_quoted(std::string& out, std::string_view text, std::size_t max_bytes) {
   out += '"';
-  append_escaped(out, text, most, true);
+  append_escaped(out, text, max_bytes, true);
   out += '"';
 }
 
@@ -81,13 +80,13 @@
                         std::string_view text, std::initializer_list<Field> fields) {
   std::string line;
   if (format == Format::kText) {
-    // Messages of the checker have several lines, and people read them as they are.
+    // Messages of the configuration checker have several lines, which are kept for readers.
     line = "violetusher: ";
     for (bool first = true; !text.empty(); first = false) {
       if (!first) line += '\n';
       std::size_t end = text.find('\n');
-      append_escaped(line, text.substr(0, end), kMostText - std::min(kMostText, line.size()),
-                     false);
+      append_escaped(line, text.substr(0, end),
+                     kMaxTextBytes - std::min(kMaxTextBytes, line.size()), false);
       text.remove_prefix(end == text.npos ? text.size() : end + 1);
     }
     return line + "\n";
@@ -100,21 +99,22 @@
       line.append(line.empty() ? "" : " ").append(what).append("=");
   };
   auto word = [&](std::string_view what) {
-    json ? append_quoted(line, what, kMostField) : append_escaped(line, what, kMostField, true);
+    json ? append_quoted(line, what, kMaxFieldBytes)
+         : append_escaped(line, what, kMaxFieldBytes, true);
   };
   if (json) line = "{";
   name("time"), word(time_text(unix_time));
   name("level"), word(kLevels[static_cast<int>(level)]);
   name("event"), word(event);
-  name("msg"), append_quoted(line, text, kMostText);
+  name("msg"), append_quoted(line, text, kMaxTextBytes);
   std::size_t count = 0;
   for (const Field& field : fields) {
-    if (++count > kMostFields) break;
+    if (++count > kMaxFields) break;
     name(field.name);
     if (auto* number = std::get_if<std::int64_t>(&field.value))
       line += std::to_string(*number);
     else
-      append_quoted(line, std::get<std::string_view>(field.value), kMostField);
+      append_quoted(line, std::get<std::string_view>(field.value), kMaxFieldBytes);
   }
   if (json) line += '}';
   return line + "\n";
@@ -122,15 +122,15 @@
 
 bool EventRateLimiter::admit(Micros now, std::string_view event, std::uint64_t& suppressed) {
   auto it = counts_.find(event);
-  if (it == counts_.end() && counts_.size() >= kMostEvents) it = counts_.find("");
+  if (it == counts_.end() && counts_.size() >= kMaxEvents) it = counts_.find("");
   if (it == counts_.end())
     it = counts_
-             .emplace(counts_.size() + 1 < kMostEvents ? std::string(event) : std::string(),
+             .emplace(counts_.size() + 1 < kMaxEvents ? std::string(event) : std::string(),
                       Count{now, 0, 0})
              .first;
   Count& c = it->second;
-  if (now - c.since >= kSpan) c.since = now, c.written = 0;
-  if (c.written >= kMost) {
+  if (now - c.since >= kInterval) c.since = now, c.written = 0;
+  if (c.written >= kMaxLines) {
     ++c.suppressed;
     return false;
   }
