--- a/src/core/flight/record.cpp
+++ b/src/core/flight/record.cpp
@@ -9,7 +9,7 @@
                                        "answered",      "gone",          "forgotten",    "late",
                                        "second-answer", "attempt-after", "no-connection"};
   auto at = static_cast<std::uint8_t>(kind);
-  return at <= kMostKind ? kNames[at] : "unknown";
+  return at <= kMaxKind ? kNames[at] : "unknown";
 }
 
 const char* name_of(Reason why) {
@@ -17,7 +17,7 @@
                                        "table", "bytes",    "buffer",     "dial",  "deadline",
                                        "left",  "shutdown", "bad-command"};
   auto at = static_cast<std::uint8_t>(why);
-  return at <= kMostWhy ? kNames[at] : "unknown";
+  return at <= kMaxReason ? kNames[at] : "unknown";
 }
 
 const char* name_of(Status status) {
--- a/src/core/flight/recording.cpp
+++ b/src/core/flight/recording.cpp
@@ -8,19 +8,19 @@
 struct Block {
   BlockHeader header;
   std::span<const std::byte> records;
-  std::size_t place;  // in the file, from 1
+  std::size_t place;  // block number in the file, from 1
 };
 
-// Times and values of a recording that was written are far below: sums of some of them fit.
-constexpr std::int64_t kMostFigure = std::int64_t{1} << 52;
+// Recorded times and values are far below this, so that sums of them do not overflow.
+constexpr std::int64_t kMaxValue = std::int64_t{1} << 52;
 
 bool known(const Record& r) {
-  return r.at >= 0 && r.at < kMostFigure && r.value > -kMostFigure && r.value < kMostFigure &&
-         r.kind != Kind::kNone && static_cast<std::uint8_t>(r.kind) <= kMostKind &&
-         static_cast<std::uint8_t>(r.why) <= kMostWhy;
+  return r.at >= 0 && r.at < kMaxValue && r.value > -kMaxValue && r.value < kMaxValue &&
+         r.kind != Kind::kNone && static_cast<std::uint8_t>(r.kind) <= kMaxKind &&
+         static_cast<std::uint8_t>(r.why) <= kMaxReason;
 }
 
-/// The records of one block up to the first that is not whole.
+/// Reads the records of one block up to the first that is not intact.
 void read_block(const Block& block, bool last, Recording& out) {
   std::string name = "block " + std::to_string(block.place);
   std::size_t most = block.records.size() / sizeof(Record), good = 0;
@@ -39,8 +39,8 @@
   }
   if (broken)
     out.problems.push_back(name + ": record " + std::to_string(good + 1) +
-                           (last ? " is torn: writing stopped there"
-                                 : " is broken; the rest of the block is left out"));
+                           (last ? " is incomplete: writing stopped there"
+                                 : " is corrupt; the rest of the block is skipped"));
   else if (most < kRecordsPerBlock)
     out.problems.push_back(name + ": the file ends within it");
   else if (!last && good < kRecordsPerBlock)
@@ -49,7 +49,8 @@
     std::vector<std::uint64_t> words(kRecordsPerBlock * sizeof(Record) / 8);
     std::memcpy(words.data(), block.records.data(), words.size() * 8);
     if (mix(words.data(), words.size(), block.header.sequence) != block.header.checksum)
-      out.problems.push_back(name + ": its checksum is wrong, though each record is whole");
+      out.problems.push_back(name +
+                             ": the checksum of the block is wrong, though each record is intact");
   }
 }
 
@@ -58,7 +59,7 @@
 bool read_recording(std::span<const std::byte> bytes, Recording& out, std::string& error) {
   FileHeader header;
   if (bytes.size() < sizeof header) {
-    error = "too short for a recording";
+    error = "too short to be a recording";
     return false;
   }
   std::memcpy(&header, bytes.data(), sizeof header);
@@ -75,7 +76,7 @@
   std::memcpy(words, &header, sizeof header);
   if (mix(words, sizeof header / 8 - 1, kVersion) != header.checksum ||
       header.record_size != sizeof(Record) || header.block_size != kBlockBytes) {
-    error = "the head of the recording is broken";
+    error = "the header of the recording is corrupt";
     return false;
   }
   out = {};
@@ -101,7 +102,8 @@
     if (b.header.magic == 0 && b.header.sequence == 0) continue;  // never used
     bool here = b.header.sequence > 0 && (b.header.sequence - 1) % header.blocks == k - 1;
     if (b.header.magic != kBlockMagic || b.header.version != kVersion || !here) {
-      out.problems.push_back("block " + std::to_string(k) + ": its head is broken, it is left out");
+      out.problems.push_back("block " + std::to_string(k) +
+                             ": its header is corrupt, the block is skipped");
       continue;
     }
     blocks.push_back(b);
--- a/src/core/flight/ring.cpp
+++ b/src/core/flight/ring.cpp
@@ -7,7 +7,8 @@
 
 Ring::Ring(std::span<std::byte> memory, std::string_view name, std::int64_t pid, Micros now)
     : memory_(memory), blocks_(memory.size() / kBlockBytes - 1) {
-  if (memory.size() < kLeast) throw std::invalid_argument("flight ring: too small");
+  if (memory.size() < kMinRingBytes)
+    throw std::invalid_argument("flight ring: memory is smaller than three blocks");
   FileHeader header;
   header.blocks = blocks_;
   header.started = now;
@@ -20,14 +21,13 @@
 }
 
 void Ring::open_block(Micros now) {
-  // The records of the round before go first: a block is never half of one round and half of
-  // another.
+  // Clears the records of the previous round first: a block never mixes two rounds.
   std::fill_n(block(), kBlockBytes, std::byte{0});
   BlockHeader header;
   header.magic = kBlockMagic;
   header.version = kVersion;
   header.sequence = sequence_;
-  header.begun = now;
+  header.started = now;
   std::memcpy(block(), &header, sizeof header);
   used_ = 0;
 }
--- a/src/core/flight/ring.hpp
+++ b/src/core/flight/ring.hpp
@@ -1,10 +1,9 @@
-// The ring of the flight recorder in memory that somebody else owns, a mapped file for one that
-// shall survive the process. No allocation, no call of the system.
+// Ring buffer of the flight recorder, in memory that the caller owns: a mapped file if it has to
+// survive the process. No allocation and no system calls.
 //
-// One block of kBlockBytes bytes for the file, then blocks of records. A block is filled from its
-// start; once full it gets its checksum and the next one begins, the oldest where all are full.
-// Whatever the moment at which writing stops, each record is whole or is told from a whole one by
-// its own check.
+// The layout is one block of kBlockBytes for the file header, then blocks of records. A block is
+// filled from its start; a full one gets its checksum and the next one starts, overwriting the
+// oldest. At whatever moment writing stops, the checksum of each record shows whether it is intact.
 #pragma once
 
 #include <algorithm>
@@ -19,8 +18,9 @@
 constexpr std::size_t kBlockBytes = 4096;
 constexpr std::uint64_t kFileMagic = 0x3154484749'4c4656ull;  // "VFLIGHT1"
 constexpr std::uint32_t kBlockMagic = 0x4b4c4246;             // "FBLK"
-constexpr std::size_t kLeast = 3 * kBlockBytes;               ///< bytes of the smallest ring
+constexpr std::size_t kMinRingBytes = 3 * kBlockBytes;        ///< smallest size of a ring in bytes
 
+/// The first block of a recording.
 struct FileHeader {
   std::uint64_t magic = kFileMagic;
   std::uint16_t version = kVersion;
@@ -29,27 +29,29 @@
   std::uint64_t blocks = 0;
   Micros started = 0;
   std::int64_t pid = 0;
-  char name[64] = {};  ///< of the router; zeros behind it
+  char name[64] = {};  ///< name of the router; padded with zeros
   std::uint64_t checksum = 0;
 };
 static_assert(sizeof(FileHeader) % 8 == 0);
 
+/// The start of each block of records.
 struct BlockHeader {
   std::uint32_t magic = 0;
   std::uint16_t version = 0;
-  std::uint16_t sealed = 0;    ///< 1: full, and `checksum` holds
-  std::uint64_t sequence = 0;  ///< counts blocks from 1
-  Micros begun = 0;
+  std::uint16_t sealed = 0;    ///< 1: full, and `checksum` is valid
+  std::uint64_t sequence = 0;  ///< block count, from 1
+  Micros started = 0;
   std::uint64_t checksum = 0;  ///< over the records and `sequence`
   std::uint64_t reserved[4] = {};
 };
 static_assert(sizeof(BlockHeader) == 64);
 constexpr std::size_t kRecordsPerBlock = (kBlockBytes - sizeof(BlockHeader)) / sizeof(Record);
 
+/// Writes records into the ring.
 class Ring {
  public:
-  /// Takes `memory`, of at least kLeast bytes and aligned to 8, for its own; what is left over
-  /// behind the last whole block is not used. What was there before is lost.
+  /// Uses `memory`, of at least kMinRingBytes and aligned to 8; bytes after the last whole block
+  /// are not used. Previous contents are lost.
   Ring(std::span<std::byte> memory, std::string_view name, std::int64_t pid, Micros now);
 
   void put(Record& record) {
@@ -60,7 +62,7 @@
     ++used_;
   }
 
-  /// Records that were written over.
+  /// Records that were overwritten.
   std::uint64_t overwritten() const;
   std::uint64_t written() const { return (sequence_ - 1) * kRecordsPerBlock + used_; }
   std::size_t bytes() const { return (blocks_ + 1) * kBlockBytes; }
@@ -79,7 +81,7 @@
   std::size_t used_ = 0;
 };
 
-/// What notes events, where there is a ring; else costs one branch.
+/// Records events if a ring is attached; otherwise costs one branch.
 class Recorder {
  public:
   void attach(Ring* ring) { ring_ = ring; }
@@ -95,7 +97,7 @@
     r.attempt = static_cast<std::int16_t>(attempt);
     r.kind = kind;
     r.why = why;
-    if (!text.empty()) std::memcpy(r.text, text.data(), std::min(text.size(), Record::kText));
+    if (!text.empty()) std::memcpy(r.text, text.data(), std::min(text.size(), Record::kTextBytes));
     ring_->put(r);
   }
 
--- a/src/core/flight/timeline.cpp
+++ b/src/core/flight/timeline.cpp
@@ -6,8 +6,8 @@
 namespace violetusher::core::flight {
 namespace {
 
-constexpr Micros kLongest = 86'400'000'000;  // a day; longer is no request of ours
-constexpr int kMostAttempts = 128;           // of one request; more are no recording of ours
+constexpr Micros kMaxRequestTime = 86'400'000'000;  // one day; a longer request is corrupt data
+constexpr int kMaxAttempts = 128;                   // of one request; more are corrupt data
 
 }  // namespace
 
@@ -37,8 +37,8 @@
 
 TimeBreakdown Timeline::parts() const {
   TimeBreakdown p;
-  if (!taken || answered <= taken || took() > kLongest) return p;
-  // The moments at which anything changes cut the time into pieces.
+  if (!taken || answered <= taken || took() > kMaxRequestTime) return p;
+  // Split the time at each moment at which anything changes.
   std::vector<Micros> cuts{taken, answered};
   for (const AttemptTimeline& a : attempts)
     for (Micros at : {a.sent, a.written, a.written + a.behind(), a.ended})
@@ -64,12 +64,12 @@
 std::vector<Timeline> timelines(const Recording& recording) {
   std::vector<Timeline> lines;
   std::unordered_map<RequestId, std::size_t> at;
-  // By connection, the attempts given to it that have not ended, in order.
+  // Attempts assigned to each connection that have not ended, in order.
   struct Place {
     std::size_t line, attempt;
   };
   std::unordered_map<std::uint32_t, std::vector<Place>> queues;
-  auto leave = [&](std::size_t line, std::size_t attempt, Micros when) {
+  auto leave_queue = [&](std::size_t line, std::size_t attempt, Micros when) {
     AttemptTimeline& a = lines[line].attempts[attempt];
     auto queue = queues.find(a.connection);
     if (queue == queues.end()) return;
@@ -80,7 +80,7 @@
     if (mine == list.end()) return;
     bool first = mine == list.begin();
     list.erase(mine);
-    // Whoever is first now has nobody before it from here on.
+    // The attempt that is first now waits for nobody from here on.
     if (first && !list.empty()) lines[list[0].line].attempts[list[0].attempt].head = when;
     if (list.empty()) queues.erase(queue);
   };
@@ -95,7 +95,7 @@
     Timeline& line = lines[number];
     line.records.push_back(r);
     auto attempt = [&]() -> AttemptTimeline* {
-      if (r.attempt < 0 || r.attempt >= kMostAttempts) return nullptr;
+      if (r.attempt < 0 || r.attempt >= kMaxAttempts) return nullptr;
       auto k = static_cast<std::size_t>(r.attempt);
       while (line.attempts.size() <= k) {
         int next = static_cast<int>(line.attempts.size());
@@ -114,7 +114,7 @@
       case Kind::kSent:
       case Kind::kMoved:
         if (!a) break;
-        if (r.kind == Kind::kMoved) leave(number, static_cast<std::size_t>(r.attempt), r.at);
+        if (r.kind == Kind::kMoved) leave_queue(number, static_cast<std::size_t>(r.attempt), r.at);
         if (!a->sent) a->sent = r.at;
         a->server = r.text_string(), a->connection = r.number, a->ahead = r.value;
         queues[r.number].push_back({number, static_cast<std::size_t>(r.attempt)});
@@ -129,7 +129,7 @@
         if (!a) break;
         a->ended = r.at, a->status = static_cast<Status>(r.value);
         if (a->server.empty()) a->server = r.text_string();
-        leave(number, static_cast<std::size_t>(r.attempt), r.at);
+        leave_queue(number, static_cast<std::size_t>(r.attempt), r.at);
         break;
       case Kind::kRefused:
       case Kind::kFailed:
--- a/tests/core/flight/flight_test.cpp
+++ b/tests/core/flight/flight_test.cpp
@@ -1,4 +1,5 @@
-// The recorder's ring and its reader: whatever happens to the bytes, what is read was written.
+// The recorder's ring and its reader: whatever happens to the bytes, only records that were written
+// are read.
 #include <gtest/gtest.h>
 #include <rapidcheck.h>
 
@@ -19,7 +20,7 @@
       Record r;
       r.at = 2'000 + static_cast<Micros>(k);
       r.request = draws() % 50 + 1;
-      r.kind = static_cast<Kind>(draws() % kMostKind + 1);
+      r.kind = static_cast<Kind>(draws() % kMaxKind + 1);
       r.attempt = static_cast<std::int16_t>(draws() % 4);
       r.value = static_cast<std::int64_t>(draws() % 1000);
       std::string text = "s-" + std::to_string(draws() % 9);
@@ -42,7 +43,7 @@
   return std::memcmp(&x, &y, sizeof x) == 0;
 }
 
-/// Every record read is one that was written, in order.
+/// Checks that every record read was written, in order.
 void expect_part_of(const std::vector<Record>& read, const std::vector<Record>& written) {
   std::size_t at = 0;
   for (const Record& r : read) {
@@ -52,7 +53,7 @@
   }
 }
 
-TEST(Ring, KeepsAllUntilItIsFullAndThenTheLatest) {
+TEST(Ring, KeepsTheLatestRecordsWhenFull) {
   rc::check("the last whole blocks are read back", [] {
     auto blocks = *rc::gen::inRange<std::size_t>(2, 6);
     auto count = *rc::gen::inRange<std::uint64_t>(0, 1000);
@@ -68,7 +69,7 @@
   });
 }
 
-TEST(Ring, SmallerThanOneRequestsEvents) {
+TEST(Ring, ARingSmallerThanOneRequestIsReadable) {
   Written w(2, 0);
   Recorder recorder;
   recorder.attach(&w.ring);
@@ -85,7 +86,7 @@
   EXPECT_GT(got.overwritten, 0u);
 }
 
-TEST(Reader, ARecordingCutAtEveryByte) {
+TEST(Reader, ARecordingTruncatedAtAnyByteIsReadAsFarAsIntact) {
   Written w(3, 150);
   for (std::size_t size = 0; size <= w.bytes().size(); ++size) {
     Recording got;
@@ -97,14 +98,14 @@
     ASSERT_NO_FATAL_FAILURE(expect_part_of(got.records, w.records)) << size;
     bool whole = got.records.size() == w.records.size();
     EXPECT_TRUE(whole || !got.problems.empty())
-        << size << ": something is missing and nothing said";
+        << size << ": records are missing and no problem is reported";
   }
 }
 
-TEST(Reader, FlippedBitsAreToldAndNothingWrongIsRead) {
+TEST(Reader, FlippedBitsAreReportedAndNoCorruptRecordIsRead) {
   Written w(3, 170);
   std::mt19937_64 draws(20261201);
-  int told = 0, tries = 4'000;
+  int reported_count = 0, tries = 4'000;
   for (int k = 0; k < tries; ++k) {
     std::vector<std::uint64_t> copy = w.memory;
     std::span<std::byte> bytes{reinterpret_cast<std::byte*>(copy.data()), copy.size() * 8};
@@ -114,7 +115,7 @@
     std::string error;
     if (!read_recording(bytes, got, error)) {
       EXPECT_LT(bit / 8, sizeof(FileHeader));
-      ++told;
+      ++reported_count;
       continue;
     }
     std::size_t missing = 0, at = 0;
@@ -123,15 +124,15 @@
         ++at;
       else
         ++missing;
-    // Behind the last record lie zeros: a flip there can look like a torn record and no more.
-    EXPECT_EQ(at, got.records.size()) << "bit " << bit << ": a record that nobody wrote";
+    // After the last record there are zeros: a flip there looks like a torn record at most.
+    EXPECT_EQ(at, got.records.size()) << "bit " << bit << ": a record that was never written";
     EXPECT_TRUE(missing == 0 || !got.problems.empty()) << "bit " << bit;
-    told += !got.problems.empty();
+    reported_count += !got.problems.empty();
   }
-  EXPECT_GT(told, tries / 4);
+  EXPECT_GT(reported_count, tries / 4);
 }
 
-TEST(Reader, OtherFilesAndVersionsAreTurnedAway) {
+TEST(Reader, OtherFilesAndVersionsAreRejected) {
   Written w(2, 5);
   Recording got;
   std::string error;
@@ -144,20 +145,20 @@
   EXPECT_EQ(error, "not a recording of the flight recorder");
 }
 
-TEST(Reader, NeverFailsOnAnyBytes) {
+TEST(Reader, SurvivesArbitraryBytes) {
   std::mt19937_64 draws(7);
   for (int k = 0; k < 2'000; ++k) {
     Written w(2, draws() % 150, draws());
     auto bytes = w.bytes();
-    // Broken records with good checks as well: what is read is not to be trusted by what follows.
+    // Corrupt records with valid checksums too, which the code after the reader must not trust.
     for (std::uint64_t n = draws() % 20; n > 0; --n) {
       std::uint64_t place = kRecordsPerBlock + draws() % 20;
       Record r;
       std::uint64_t junk[8];
       for (auto& word : junk) word = draws();
       std::memcpy(&r, junk, sizeof r);
-      r.kind = static_cast<Kind>(draws() % (kMostKind + 1));
-      r.why = static_cast<Reason>(draws() % (kMostWhy + 1));
+      r.kind = static_cast<Kind>(draws() % (kMaxKind + 1));
+      r.why = static_cast<Reason>(draws() % (kMaxReason + 1));
       if (draws() % 2)
         r.request = draws() % 3, r.attempt = static_cast<std::int16_t>(draws() % 200);
       r.check = check_of(r, place);
@@ -174,8 +175,8 @@
   }
 }
 
-/// A request whose second attempt stood behind another's: the parts say so and add up.
-TEST(Timeline, TellsWhereTheTimeWent) {
+/// A request queued behind another on a connection: the breakdown shows it and adds up.
+TEST(Timeline, BreaksDownTheTimeOfARequest) {
   Written w(2, 0);
   Recorder recorder;
   recorder.attach(&w.ring);
@@ -184,7 +185,7 @@
   recorder.record(10, Kind::kSent, 1, 0, 5, 0, "s-0");
   recorder.record(20, Kind::kWritten, 1, 0, 5);
   recorder.record(100, Kind::kReceived, 2, -1, 0, 900, "second");
-  recorder.record(110, Kind::kSent, 2, 0, 5, 1, "s-0");  // behind the first on connection 5
+  recorder.record(110, Kind::kSent, 2, 0, 5, 1, "s-0");  // queued behind the first on connection 5
   recorder.record(130, Kind::kWritten, 2, 0, 5);
   recorder.record(400, Kind::kEnd, 1, 0, 0, ok, "s-0");
   recorder.record(400, Kind::kAnswered, 1);
@@ -205,7 +206,7 @@
   EXPECT_EQ(lines[0].parts().behind, 0);
 }
 
-TEST(Timeline, PartsAddUpWhateverOverlaps) {
+TEST(Timeline, PartsAddUpForOverlappingAttempts) {
   rc::check("the parts of a request are its time", [] {
     Timeline line;
     line.taken = 1'000, line.answered = 1'000 + *rc::gen::inRange<Micros>(1, 2'000);
