--- a/src/core/connections/idle_budget.hpp
+++ b/src/core/connections/idle_budget.hpp
@@ -16,8 +16,7 @@
 /// One router's share of a cache server's connection table.
 struct ConnectionShare {
   std::size_t max_open = 1;  ///< connections that may be open at once, at least 1
-  double mean_idle =
-      1;  ///< mean number of idle connections; below 1: idle for a fraction of the time
+  double mean_idle = 1;      ///< mean idle connections; below 1: one for part of the time
   Micros max_idle_time = 0;  ///< idle time after which a connection is closed
 };
 
--- a/src/core/flight/record.hpp
+++ b/src/core/flight/record.hpp
@@ -65,7 +65,7 @@
 
 /// One event of a request, as stored.
 struct Record {
-  static constexpr std::size_t kTextBytes = 30;
+  static constexpr std::size_t kText = 30;
   Micros at = 0;          ///< monotonic, with Unix time as its origin
   RequestId request = 0;  ///< the router's number of the request; 0 = none
   std::int64_t value = 0;
@@ -73,10 +73,10 @@
   std::int16_t attempt = -1;  ///< -1 = the whole request
   Kind kind = Kind::kNone;
   Reason why = Reason::kNone;
-  char text[kTextBytes] = {};  ///< truncated if longer; padded with zeros
-  std::uint16_t check = 0;     ///< see check_of()
+  char text[kText] = {};    ///< truncated if longer; padded with zeros
+  std::uint16_t check = 0;  ///< see check_of()
 
-  std::string text_string() const { return {text, ::strnlen(text, kTextBytes)}; }
+  std::string text_string() const { return {text, ::strnlen(text, kText)}; }
 };
 static_assert(sizeof(Record) == 64 && std::is_trivially_copyable_v<Record>);
 
--- a/src/core/flight/ring.hpp
+++ b/src/core/flight/ring.hpp
@@ -97,7 +97,7 @@
     r.attempt = static_cast<std::int16_t>(attempt);
     r.kind = kind;
     r.why = why;
-    if (!text.empty()) std::memcpy(r.text, text.data(), std::min(text.size(), Record::kTextBytes));
+    if (!text.empty()) std::memcpy(r.text, text.data(), std::min(text.size(), Record::kText));
     ring_->put(r);
   }
 
--- a/src/core/limit/limits.cpp
+++ b/src/core/limit/limits.cpp
@@ -65,10 +65,10 @@
 
 Limiter::Decision admit_all(Micros now, std::span<Limiter* const> limits) {
   for (std::size_t k = 0; k < limits.size(); ++k) {
-    Limiter::Decision answer = limits[k]->admit(now);
-    if (answer.admitted) continue;
+    Limiter::Decision decision = limits[k]->admit(now);
+    if (decision.admitted) continue;
     while (k-- > 0) limits[k]->undo();
-    return answer;
+    return decision;
   }
   return {true};
 }
--- a/src/core/limit/limits.hpp
+++ b/src/core/limit/limits.hpp
@@ -115,8 +115,8 @@
 class Fallback {
  public:
   struct Settings {
-    double activate_at = 0.5;  ///< fraction refused by the primary pool above which failover starts
-    double deactivate_at = 0.2;  ///< fraction below which it ends
+    double activate_at = 0.5;    ///< refused fraction of the primary pool that starts failover
+    double deactivate_at = 0.2;  ///< refused fraction that ends it
     double max_fraction = 1;     ///< largest fraction of the route's requests for the fallback
   };
   explicit Fallback(const Settings& settings) : settings_(settings) {}
@@ -132,7 +132,7 @@
   void advance(Micros now);
   static constexpr Micros kStep = 1'000'000;
   static constexpr double kMinSamples =
-      20;  // requests over two steps below which the fraction is not significant
+      20;  // requests in two steps that make the fraction significant
   Settings settings_;
   bool active_ = false;
   Micros step_ = -1;
--- a/src/core/limit/load_shedding.hpp
+++ b/src/core/limit/load_shedding.hpp
@@ -53,7 +53,7 @@
   double factor(Micros now);
 
  private:
-  static constexpr double kMinSamples = 20;  // attempts below which the fraction is not significant
+  static constexpr double kMinSamples = 20;  // attempts that make the fraction significant
   void advance(Micros now);
   Micros step_ = -1;
   double completed_[2] = {}, failed_[2] = {};
--- a/src/core/membership/watch_scheduler.cpp
+++ b/src/core/membership/watch_scheduler.cpp
@@ -27,7 +27,8 @@
 // A router that always retries also fetches with kFetchTimeout at each multiple of this many
 // consecutive failures; a slow agent would otherwise never be able to respond in time.
 constexpr int kFailuresPerFetch = 4;
-// A watch counts as continued if its next call comes within 200 ms of the last response.
+// Delay of the next call to a discovery that does not hold watches. A watch counts as continued if
+// its next call comes within 200 ms of the last response.
 constexpr Micros kUnheldWatchInterval = kSecond / 10;
 
 std::optional<std::uint64_t> number(const std::string& text) {
@@ -51,8 +52,8 @@
 
 Micros WatchScheduler::random_between(Micros from, Micros to) {
   rng_ = rng_ * 6364136223846793005ULL + 1442695040888963407ULL;  // Knuth's MMIX generator
-  double part = static_cast<double>(rng_ >> 40) / static_cast<double>(1 << 24);
-  return from + static_cast<Micros>(part * static_cast<double>(to - from));
+  double fraction = static_cast<double>(rng_ >> 40) / static_cast<double>(1 << 24);
+  return from + static_cast<Micros>(fraction * static_cast<double>(to - from));
 }
 
 void WatchScheduler::start_call(Place place, Micros now, Micros wait) {
--- a/src/core/membership/watch_scheduler.hpp
+++ b/src/core/membership/watch_scheduler.hpp
@@ -5,8 +5,8 @@
 // A watch may fall silent without an end, which looks the same as one that still waits. Each watch
 // is therefore renewed by a second one long before its wait is over, and the older one runs to its
 // own end: no call is cancelled in normal operation, as a cancelled call starts the notification
-// deadline for what it missed. An older watch that has no end when it should shows that the
-// connection is silent, and the newer watch may be as silent. An immediate call then fetches what
+// deadline for what it missed. An older watch that has no end when it should shows that calls
+// fall silent, and the newer watch may be as silent. An immediate call then fetches what
 // was missed, and only after its response are the others cancelled.
 #pragma once
 
@@ -28,15 +28,15 @@
   bool sound = false;  ///< a list of which every entry is usable
   bool list = false;   ///< a list, of which some entries may be unusable
   std::string version;
-  bool whole = false;
+  bool whole = false;  ///< the full list, not the changes since a version
 };
 
 /// What the router does with the list of a response.
 enum class ListDecision {
   kIgnore,
   kApply,
-  /// The version count restarted, so discovery may know less than the router: servers that are
-  /// known to be removed stay so where the list says otherwise.
+  /// The version count restarted, so discovery may know less than the router: servers known to be
+  /// draining or removed stay so where the list says otherwise.
   kApplyUnconfirmed,
 };
 
--- a/src/core/route/traffic_policy.cpp
+++ b/src/core/route/traffic_policy.cpp
@@ -33,7 +33,7 @@
     const config::Budget& set = model_.budgets.at(budget);
     if (previous)
       if (auto it = previous->budgets_[kind].find(owner);
-          it != previous->budgets_[kind].end() && it->second.set == set) {
+          it != previous->budgets_[kind].end() && it->second.settings == set) {
         budgets_[kind][owner] = it->second;
         return;
       }
@@ -135,9 +135,9 @@
     }
   }
   resolve_limits(request, d.ticket);
-  Limiter::Decision answer = admit_with_shedding(now, request, d.ticket);
-  d.admitted = d.ticket.admitted = answer.admitted;
-  d.retry_after = answer.retry_after;
+  Limiter::Decision decision = admit_with_shedding(now, request, d.ticket);
+  d.admitted = d.ticket.admitted = decision.admitted;
+  d.retry_after = decision.retry_after;
   return d;
 }
 
@@ -146,21 +146,22 @@
 Limiter::Decision TrafficPolicy::admit_with_shedding(Micros now, const RouteRequest& request,
                                                      const Ticket& ticket) {
   auto it = load_shedders_.find(*ticket.pool);
-  LoadShedder* worth = it == load_shedders_.end() ? nullptr : it->second.get();
-  if (worth && !worth->may_request(now, request.type))
+  LoadShedder* shedder = it == load_shedders_.end() ? nullptr : it->second.get();
+  if (shedder && !shedder->may_request(now, request.type))
     return {false, model_.limits.at(model_.pools.at(*ticket.pool).limit).retry_after};
-  Limiter::Decision answer = admit_all(now, ticket.active_limiters());
+  Limiter::Decision decision = admit_all(now, ticket.active_limiters());
   // A refusal by the limit of a tenant, class or route is no sign of load on the pool.
   bool by_pool = false;
   if (auto pool = limiters_[kPool].find(*ticket.pool); pool != limiters_[kPool].end())
-    by_pool = !answer.admitted && answer.refused_by == pool->second.get();
-  if (answer.admitted && ticket.shares && !ticket.shares->admit(now, ticket.tenant)) {
+    by_pool = !decision.admitted && decision.refused_by == pool->second.get();
+  if (decision.admitted && ticket.shares && !ticket.shares->admit(now, ticket.tenant)) {
     for (Limiter* l : ticket.active_limiters()) l->undo();
-    answer = {false, shares_.find(*ticket.pool)->second.first.retry_after};
+    decision = {false, shares_.find(*ticket.pool)->second.first.retry_after};
     by_pool = true;
   }
-  if (worth && (answer.admitted || by_pool)) worth->on_answer(now, request.type, answer.admitted);
-  return answer;
+  if (shedder && (decision.admitted || by_pool))
+    shedder->on_answer(now, request.type, decision.admitted);
+  return decision;
 }
 
 void TrafficPolicy::on_attempt_end(Micros now, const Ticket& ticket, bool failed) {
--- a/src/core/route/traffic_policy.hpp
+++ b/src/core/route/traffic_policy.hpp
@@ -26,7 +26,7 @@
 
   /// The retry and hedge budgets of a route or pool.
   struct Budgets {
-    config::Budget set;
+    config::Budget settings;
     std::shared_ptr<RetryBudget> retries, hedges;
     std::shared_ptr<PoolFailureRate> failure_rate;
   };
@@ -62,7 +62,7 @@
   Decision admit(Micros now, const RouteRequest& request, bool keyed, const PoolState& pools);
   /// Ends a request, `refused` by its pool or not. Call once for each admitted one.
   void end(Micros now, Ticket& ticket, bool refused);
-  /// Records the first attempt of a request.
+  /// Records that the first attempt of a request was sent.
   void on_first_attempt(Micros now, const Ticket& ticket);
   /// Records the end of an attempt; `failed` means in a way that indicates a server fault or load.
   /// Tightens the budgets of a failing pool.
--- a/tests/core/membership/watch_scheduler_test.cpp
+++ b/tests/core/membership/watch_scheduler_test.cpp
@@ -475,8 +475,8 @@
 
   violetusher::Balancer module;
   std::multimap<Micros, std::uint64_t> timers;
-  std::map<WatchScheduler::Place, Micros>
-      out;  ///< call slots in flight, and when discovery responds if it is up
+  /// Slots in flight, and when discovery responds to them if it is up.
+  std::map<WatchScheduler::Place, Micros> out;
   Micros at = 0;
   int calls_made = 0;
   std::map<WatchScheduler::Place, int> serial;  ///< number of the call in flight in each slot
--- a/tests/net/discovery_test.cpp
+++ b/tests/net/discovery_test.cpp
@@ -72,8 +72,8 @@
     int failed = 0;
   } heard;
   core::membership::WatchTiming terms = core::membership::polled_timing();
-  for (Micros* t :
-       {&terms.wait, &terms.renew_from, &terms.renew_to, &terms.limit_at_once, &terms.limit})
+  for (Micros* t : {&terms.wait, &terms.min_renewal_age, &terms.max_renewal_age,
+                    &terms.immediate_response_timeout, &terms.response_timeout})
     *t /= 40;
   Scripted discovery({http(host_list("1", {}, false)), kSilence,
                       http(host_list("2", {host_entry("s-0", "127.0.0.1:9", "leaving")}, false)),
