--- a/src/core/flight/record.hpp
+++ b/src/core/flight/record.hpp
@@ -74,7 +74,7 @@
   Kind kind = Kind::kNone;
   Reason why = Reason::kNone;
   char text[kText] = {};    ///< truncated if longer; padded with zeros
-  std::uint16_t check = 0;  ///< see check_of()
+  std::uint16_t check = 0;  ///< see checksum_of()
 
   std::string text_string() const { return {text, ::strnlen(text, kText)}; }
 };
@@ -95,7 +95,7 @@
 
 /// The checksum of a record over all its other bytes and its place, so that a record left from an
 /// earlier round of the ring is not taken for a current one.
-inline std::uint16_t check_of(const Record& record, std::uint64_t place) {
+inline std::uint16_t checksum_of(const Record& record, std::uint64_t place) {
   std::uint64_t words[8];
   std::memcpy(words, &record, sizeof record);
   words[7] &= 0x0000ffffffffffffull;
--- a/src/core/flight/recording.cpp
+++ b/src/core/flight/recording.cpp
@@ -31,7 +31,7 @@
     bool empty = r.kind == Kind::kNone && r.at == 0 && r.check == 0;
     if (empty) break;
     std::uint64_t place = block.header.sequence * kRecordsPerBlock + good;
-    if (!known(r) || r.check != check_of(r, place)) {
+    if (!known(r) || r.check != checksum_of(r, place)) {
       broken = true;
       break;
     }
--- a/src/core/flight/ring.hpp
+++ b/src/core/flight/ring.hpp
@@ -57,7 +57,7 @@
   void put(Record& record) {
     if (used_ == kRecordsPerBlock) next_block(record.at);
     std::uint64_t place = sequence_ * kRecordsPerBlock + used_;
-    record.check = check_of(record, place);
+    record.check = checksum_of(record, place);
     std::memcpy(block() + sizeof(BlockHeader) + used_ * sizeof(Record), &record, sizeof record);
     ++used_;
   }
--- a/tests/core/flight/flight_test.cpp
+++ b/tests/core/flight/flight_test.cpp
@@ -161,7 +161,7 @@
       r.why = static_cast<Reason>(draws() % (kMaxReason + 1));
       if (draws() % 2)
         r.request = draws() % 3, r.attempt = static_cast<std::int16_t>(draws() % 200);
-      r.check = check_of(r, place);
+      r.check = checksum_of(r, place);
       std::memcpy(
           bytes.data() + kBlockBytes + sizeof(BlockHeader) + (place - kRecordsPerBlock) * sizeof r,
           &r, sizeof r);
