--- a/src/core/config/check.cpp
+++ b/src/core/config/check.cpp
@@ -12,25 +12,26 @@
 
 class Checker {
  public:
-  Checker(const Model& model, const Places& places, Diagnostics& diagnostics)
-      : m_(model), places_(places), d_(diagnostics) {}
+  Checker(const Model& model, const SectionPositions& positions, Diagnostics& diagnostics)
+      : m_(model), positions_(positions), d_(diagnostics) {}
 
   void run() {
     for (const auto& [name, pool] : m_.pools) check(name, pool);
     for (const auto& [name, limit] : m_.limits) check(name, limit);
-    routes();
+    check_duplicate_routes();
     for (const auto& [name, route] : m_.routes) check(name, route);
-    listeners();
+    check_duplicate_addresses();
   }
 
  private:
-  void tell(const std::string& section, const char* key, const std::string& what,
-            const std::string& hint = "") {
-    auto place = places_.find(section);
-    if (place == places_.end()) return;
-    auto at = place->second.keys.find(key);
-    bool on_key = at != place->second.keys.end();
-    d_.add(on_key ? at->second : place->second.at, what, hint, on_key ? 1 : place->second.length);
+  void report(const std::string& section, const char* key, const std::string& what,
+              const std::string& hint = "") {
+    auto position = positions_.find(section);
+    if (position == positions_.end()) return;
+    auto at = position->second.keys.find(key);
+    bool on_key = at != position->second.keys.end();
+    d_.add(on_key ? at->second : position->second.at, what, hint,
+           on_key ? 1 : position->second.length);
   }
 
   void check(const std::string& name, const Pool& pool) {
@@ -38,64 +39,64 @@
     bool selects =
         !pool.zones.empty() || !pool.kinds.empty() || !pool.blocks.empty() || !pool.hosts.empty();
     if (selects && !pool.servers.empty())
-      tell(section, "servers",
-           "pool '" + name + "' has a static list and a selection of the discovery list",
-           "keep 'servers' or the selection");
+      report(section, "servers",
+             "pool '" + name + "' has a static list and a selection of the discovery list",
+             "keep 'servers' or the selection");
     if (!pool.shares.empty()) {
       double sum = 0;
       for (const auto& [tenant, part] : pool.shares) sum += part;
       if (std::abs(sum - 1) > 1e-9)
-        tell(section, "",
-             "the shares of pool '" + name + "' add up to " +
-                 write_figure(Type::kShare, std::round(sum * 1e8) / 1e8) + ", not to 100%");
+        report(section, "",
+               "the shares of pool '" + name + "' add up to " +
+                   format_quantity(Type::kShare, std::round(sum * 1e8) / 1e8) + ", not to 100%");
       else if (pool.limit.empty() || m_.limits.at(pool.limit).in_flight == 0)
-        tell(section, "limit",
-             "pool '" + name + "' has shares but no limit with 'in_flight' to share",
-             "the shares are parts of it");
+        report(section, "limit",
+               "pool '" + name + "' has shares but no limit with 'in_flight' to share",
+               "the shares are parts of it");
     }
   }
 
   void check(const std::string& name, const Limit& limit) {
     std::string section = "limit " + name;
     if (limit.rate == 0 && limit.in_flight == 0)
-      tell(section, "", "limit '" + name + "' limits nothing", "give it a 'rate' or 'in_flight'");
+      report(section, "", "limit '" + name + "' limits nothing", "give it a 'rate' or 'in_flight'");
     if (limit.rate == 0 && limit.burst > 0)
-      tell(section, "burst", "a burst without a rate", "add 'rate' or leave 'burst' out");
+      report(section, "burst", "a burst without a rate", "add 'rate' or leave 'burst' out");
   }
 
   /// Two routes that match the same requests: the second one is never taken.
-  void routes() {
-    std::map<std::tuple<std::string, std::string, std::string, std::string>, std::string> taken;
+  void check_duplicate_routes() {
+    std::map<std::tuple<std::string, std::string, std::string, std::string>, std::string> seen;
     // In the order in which the files have them, so that the later one is told.
     std::vector<std::pair<Position, std::string>> order;
     for (const auto& [name, route] : m_.routes)
-      order.emplace_back(places_.at("route " + name).at, name);
+      order.emplace_back(positions_.at("route " + name).at, name);
     std::sort(order.begin(), order.end(), [](auto& a, auto& b) {
       return std::tie(a.first.file, a.first.line, a.first.column) <
              std::tie(b.first.file, b.first.line, b.first.column);
     });
     for (const auto& [at, name] : order) {
       const Route& r = m_.routes.at(name);
-      auto [first, fresh] = taken.emplace(std::tuple(r.listener, r.tenant, r.type, r.prefix), name);
+      auto [first, fresh] = seen.emplace(std::tuple(r.listener, r.tenant, r.type, r.prefix), name);
       if (!fresh)
-        tell("route " + name, "",
-             "route '" + name + "' is never taken: route '" + first->second +
-                 "' matches the same requests",
-             "remove one, or match on something more");
+        report("route " + name, "",
+               "route '" + name + "' is never taken: route '" + first->second +
+                   "' matches the same requests",
+               "remove one, or match on something more");
     }
   }
 
   /// A limit inside a tighter one of the same requests is never reached.
-  void never_reached(const std::string& section, const std::string& inner, const std::string& outer,
-                     const std::string& of) {
+  void check_reachable(const std::string& section, const std::string& inner,
+                       const std::string& outer, const std::string& of) {
     if (inner.empty() || outer.empty() || inner == outer) return;
     const Limit &a = m_.limits.at(inner), &b = m_.limits.at(outer);
-    bool rate = a.rate == 0 || (b.rate > 0 && a.rate > b.rate);
-    bool flight = a.in_flight == 0 || (b.in_flight > 0 && a.in_flight > b.in_flight);
-    if (rate && flight)
-      tell(section, "limit",
-           "limit '" + inner + "' is never reached: " + of + " has the tighter limit '" + outer +
-               "'");
+    bool rate_looser = a.rate == 0 || (b.rate > 0 && a.rate > b.rate);
+    bool in_flight_looser = a.in_flight == 0 || (b.in_flight > 0 && a.in_flight > b.in_flight);
+    if (rate_looser && in_flight_looser)
+      report(section, "limit",
+             "limit '" + inner + "' is never reached: " + of + " has the tighter limit '" + outer +
+                 "'");
   }
 
   void check(const std::string& name, const Route& route) {
@@ -103,56 +104,58 @@
     std::set<std::string> pools{route.pool};
     for (const std::string& fallback : route.fallbacks)
       if (!pools.insert(fallback).second)
-        tell(section, "fallbacks", "pool '" + fallback + "' stands twice in route '" + name + "'",
-             "a fallback must be another pool");
+        report(section, "fallbacks", "pool '" + fallback + "' stands twice in route '" + name + "'",
+               "a fallback must be another pool");
     if (route.failback_at > route.failover_at)
-      tell(section, "fall_back_at",
-           "'fall_back_at' is above 'fall_over_at': it would go to and fro", "it must be lower");
+      report(section, "fall_back_at",
+             "'fall_back_at' is above 'fall_over_at': it would go to and fro", "it must be lower");
     if (route.fallbacks.empty()) {
-      auto place = places_.find(section);
+      auto position = positions_.find(section);
       for (const char* key : {"fall_over_at", "fall_back_at", "spill"})
-        if (place != places_.end() && place->second.keys.count(key))
-          tell(section, key, std::string("'") + key + "' without 'fallbacks' has no effect");
+        if (position != positions_.end() && position->second.keys.count(key))
+          report(section, key, std::string("'") + key + "' without 'fallbacks' has no effect");
     }
-    never_reached(section, route.limit, m_.pools.at(route.pool).limit, "pool '" + route.pool + "'");
+    check_reachable(section, route.limit, m_.pools.at(route.pool).limit,
+                    "pool '" + route.pool + "'");
     if (!route.type.empty())
-      never_reached(section, route.limit, m_.classes.at(route.type).limit,
-                    "class '" + route.type + "'");
+      check_reachable(section, route.limit, m_.classes.at(route.type).limit,
+                      "class '" + route.type + "'");
     if (!route.tenant.empty())
-      never_reached(section, route.limit, m_.tenants.at(route.tenant).limit,
-                    "tenant '" + route.tenant + "'");
+      check_reachable(section, route.limit, m_.tenants.at(route.tenant).limit,
+                      "tenant '" + route.tenant + "'");
     // A budget can only say no: one that allows more than the class's own attempts says it never.
     const std::string& budget =
         route.budget.empty() ? m_.pools.at(route.pool).budget : route.budget;
     if (!budget.empty() && !route.type.empty()) {
-      double most = static_cast<double>(m_.classes.at(route.type).attempts - 1);
-      if (m_.budgets.at(budget).retries > most)
-        tell(section, route.budget.empty() ? "pool" : "budget",
-             "budget '" + budget + "' allows " +
-                 write_figure(Type::kShare, m_.budgets.at(budget).retries) + " retries, class '" +
-                 route.type + "' makes at most " + write_figure(Type::kShare, most));
+      double max_retries = static_cast<double>(m_.classes.at(route.type).attempts - 1);
+      if (m_.budgets.at(budget).retries > max_retries)
+        report(section, route.budget.empty() ? "pool" : "budget",
+               "budget '" + budget + "' allows " +
+                   format_quantity(Type::kShare, m_.budgets.at(budget).retries) +
+                   " retries, class '" + route.type + "' makes at most " +
+                   format_quantity(Type::kShare, max_retries));
     }
   }
 
-  void listeners() {
-    std::map<std::string, std::string> taken;
+  void check_duplicate_addresses() {
+    std::map<std::string, std::string> seen;
     for (const auto& [name, listener] : m_.listeners) {
-      auto [first, fresh] = taken.emplace(listener.address, name);
+      auto [first, fresh] = seen.emplace(listener.address, name);
       if (!fresh)
-        tell("listener " + name, "address",
-             "listeners '" + first->second + "' and '" + name + "' have the same address");
+        report("listener " + name, "address",
+               "listeners '" + first->second + "' and '" + name + "' have the same address");
     }
   }
 
   const Model& m_;
-  const Places& places_;
+  const SectionPositions& positions_;
   Diagnostics& d_;
 };
 
 }  // namespace
 
-void check_model(const Model& model, const Places& places, Diagnostics& diagnostics) {
-  Checker(model, places, diagnostics).run();
+void check_model(const Model& model, const SectionPositions& positions, Diagnostics& diagnostics) {
+  Checker(model, positions, diagnostics).run();
 }
 
 }  // namespace violetusher::core::config
--- a/src/core/config/check.hpp
+++ b/src/core/config/check.hpp
@@ -10,14 +10,14 @@
 namespace violetusher::core::config {
 
 /// Where a section stands, and its settings.
-struct Place {
+struct SectionPosition {
   Position at;
   std::uint32_t length = 1;
   std::map<std::string, Position> keys;
 };
 /// By "KIND NAME".
-using Places = std::map<std::string, Place>;
+using SectionPositions = std::map<std::string, SectionPosition>;
 
-void check_model(const Model& model, const Places& places, Diagnostics& diagnostics);
+void check_model(const Model& model, const SectionPositions& positions, Diagnostics& diagnostics);
 
 }  // namespace violetusher::core::config
--- a/src/core/config/compile.cpp
+++ b/src/core/config/compile.cpp
@@ -10,14 +10,14 @@
 namespace violetusher::core::config {
 namespace {
 
-constexpr std::size_t kDeepestInclude = 16;
+constexpr std::size_t kMaxIncludeDepth = 16;
 
 /// One section with its settings, typed.
 struct Record {
   const Node* node = nullptr;
   const SectionRule* rule = nullptr;
   std::map<std::string, const Node*> settings;
-  std::vector<Record> below;
+  std::vector<Record> children;
 };
 
 class Compiler {
@@ -26,13 +26,13 @@
 
   void run(const std::string& name, const std::string& text) {
     // Trees must not move while nodes of them are pointed at.
-    out_.trees.reserve(kMostFiles + 1);
+    out_.trees.reserve(kMaxFiles + 1);
     read(name, text);
     for (const Node* node : order_) section(*node, nullptr, records_);
     define();
     resolve();
     build();
-    if (out_.diagnostics.none()) check_model(out_.model, places_, out_.diagnostics);
+    if (out_.diagnostics.none()) check_model(out_.model, positions_, out_.diagnostics);
     out_.diagnostics.finalize();
   }
 
@@ -51,7 +51,7 @@
         if (!first || file != 0)
           out_.diagnostics.add(node.at, "'version' stands only at the top of the first file", "",
                                node.length);
-        else if (!read_figure(Type::kInteger, node.value.text, version) || version != 1)
+        else if (!parse_quantity(Type::kInteger, node.value.text, version) || version != 1)
           out_.diagnostics.add(node.value.at, "version " + node.value.text + " is not known",
                                "this program reads version 1", node.value.length);
       } else if (first && file == 0) {
@@ -73,51 +73,50 @@
   }
 
   void include(const Node& node) {
-    auto complain = [&](const std::string& what, const std::string& hint) {
+    auto report = [&](const std::string& what, const std::string& hint) {
       out_.diagnostics.add(node.value.at, what, hint, node.value.length);
     };
     Loaded loaded = load_(chain_.back(), node.value.text);
     auto at = std::find(chain_.begin(), chain_.end(), loaded.name);
     if (loaded.error.empty() && at != chain_.end()) {
-      std::string way;
-      for (; at != chain_.end(); ++at) way += *at + " -> ";
-      return complain("include loop: " + way + loaded.name,
-                      "a file can't include itself, also not by others");
+      std::string loop;
+      for (; at != chain_.end(); ++at) loop += *at + " -> ";
+      return report("include loop: " + loop + loaded.name,
+                    "a file can't include itself, also not by others");
     }
     if (!loaded.error.empty())
-      return complain("cannot include \"" + node.value.text + "\": " + loaded.error, "");
+      return report("cannot include \"" + node.value.text + "\": " + loaded.error, "");
     if (!included_.insert(loaded.name).second)
-      return complain("\"" + node.value.text + "\" is included twice",
-                      "its names would stand twice");
-    if (chain_.size() >= kDeepestInclude)
-      return complain("includes inside one another more than 16 deep", "");
-    if (out_.sources.count() >= kMostFiles) return complain("more than 256 files", "");
-    if (out_.sources.bytes() + loaded.text.size() > kMostBytes)
-      return complain("more than 16 MiB in all files together", "");
+      return report("\"" + node.value.text + "\" is included twice", "its names would stand twice");
+    if (chain_.size() >= kMaxIncludeDepth)
+      return report("includes inside one another more than 16 deep", "");
+    if (out_.sources.count() >= kMaxFiles) return report("more than 256 files", "");
+    if (out_.sources.bytes() + loaded.text.size() > kMaxTotalBytes)
+      return report("more than 16 MiB in all files together", "");
     read(loaded.name, loaded.text);
   }
 
   static std::string sections_hint() {
     std::string text = "sections: ";
     for (const SectionRule& rule : sections())
-      if (rule.below.empty()) text += (text.size() > 10 ? ", " : "") + std::string(rule.kind);
+      if (rule.parent_kind.empty()) text += (text.size() > 10 ? ", " : "") + std::string(rule.kind);
     return text;
   }
 
   void section(const Node& node, const Record* parent, std::vector<Record>& to) {
-    std::string_view below = parent ? parent->rule->kind : std::string_view();
+    std::string_view parent_kind = parent ? parent->rule->kind : std::string_view();
     Record record;
     record.node = &node;
-    record.rule = find_section(node.key, below);
+    record.rule = find_section(node.key, parent_kind);
     if (!record.rule) {
       std::vector<std::string_view> kinds;
       for (const SectionRule& rule : sections())
-        if (rule.below == below) kinds.push_back(rule.kind);
-      auto near = nearest(node.key, kinds);
+        if (rule.parent_kind == parent_kind) kinds.push_back(rule.kind);
+      auto suggestion = closest_match(node.key, kinds);
       out_.diagnostics.add(
           node.at,
           "no section '" + node.key + "'" + (parent ? " inside '" + parent->node->key + "'" : ""),
-          near.empty() ? sections_hint() : "did you mean '" + std::string(near) + "'?",
+          suggestion.empty() ? sections_hint() : "did you mean '" + std::string(suggestion) + "'?",
           node.length);
       return;
     }
@@ -130,13 +129,13 @@
       out_.diagnostics.add(node.name_at, "'" + node.key + "' takes no name", "", node.name_length);
     for (const Node& inner : node.nodes) {
       if (inner.kind == Node::Kind::kBlock)
-        section(inner, &record, record.below);
+        section(inner, &record, record.children);
       else
         setting(inner, record);
     }
     for (const KeyRule& k : record.rule->keys)
       if (k.required && !record.settings.count(std::string(k.key)) &&
-          !lost_.count({&node, std::string(k.key)}))
+          !invalid_keys_.count({&node, std::string(k.key)}))
         out_.diagnostics.add(node.name_at,
                              node.key + " " + node.name + " lacks '" + std::string(k.key) + "'",
                              std::string(k.key) + " = " +
@@ -156,12 +155,12 @@
         keys.push_back(k.key);
         known += (known.empty() ? "" : ", ") + std::string(k.key);
       }
-      auto near = nearest(node.key, keys);
+      auto suggestion = closest_match(node.key, keys);
       // The key that was meant is not missing as well.
-      if (!near.empty()) lost_.insert({record.node, std::string(near)});
+      if (!suggestion.empty()) invalid_keys_.insert({record.node, std::string(suggestion)});
       out_.diagnostics.add(
           node.at, "no key '" + node.key + "' in a " + record.node->key,
-          near.empty() ? "keys: " + known : "did you mean '" + std::string(near) + "'?",
+          suggestion.empty() ? "keys: " + known : "did you mean '" + std::string(suggestion) + "'?",
           node.length);
       return;
     }
@@ -192,7 +191,7 @@
     }
     if (!good) {
       record.settings.erase(node.key);
-      lost_.insert({record.node, node.key});
+      invalid_keys_.insert({record.node, node.key});
     }
   }
 
@@ -201,41 +200,42 @@
       out_.diagnostics.add(v.at, what, hint, v.length);
       return false;
     };
-    std::string wanted = "'" + key + "' wants " + std::string(describe(rule.type));
+    std::string expected = "'" + key + "' wants " + std::string(describe(rule.type));
     std::string shown = key + " = " + std::string(example(rule.type)) + ";";
     switch (rule.type) {
       case Type::kName:
         if (v.kind == Value::Kind::kName || (v.kind == Value::Kind::kText && !v.text.empty()))
           return true;
-        return wrong(wanted, shown);
+        return wrong(expected, shown);
       case Type::kText:
       case Type::kPattern:
         if (v.kind == Value::Kind::kText && !v.text.empty() && v.text.size() <= 250) return true;
-        return wrong(wanted + " of 1 to 250 bytes", shown);
+        return wrong(expected + " of 1 to 250 bytes", shown);
       case Type::kFlag:
         if (v.kind == Value::Kind::kName && (v.text == "on" || v.text == "off")) return true;
-        return wrong(wanted, shown);
+        return wrong(expected, shown);
       case Type::kAddress:
         if (v.kind == Value::Kind::kText && loopback(v.text)) return true;
-        return wrong(wanted, shown);
+        return wrong(expected, shown);
       default:
         break;
     }
-    double figure = 0;
-    if (v.kind != Value::Kind::kNumber || !read_figure(rule.type, v.text, figure)) {
-      bool bare = v.kind == Value::Kind::kNumber && read_figure(Type::kInteger, v.text, figure);
+    double quantity = 0;
+    if (v.kind != Value::Kind::kNumber || !parse_quantity(rule.type, v.text, quantity)) {
+      bool bare =
+          v.kind == Value::Kind::kNumber && parse_quantity(Type::kInteger, v.text, quantity);
       if (bare && rule.type != Type::kInteger)
         return wrong(
             "'" + v.text + "' has no unit: '" + key + "' wants " + std::string(describe(rule.type)),
             shown);
-      return wrong(wanted, shown);
+      return wrong(expected, shown);
     }
     double high = rule.type == Type::kPercent ? std::min(rule.high, 1.0) : rule.high;
-    if (figure < rule.low || figure > high)
-      return wrong("'" + key + "' must be from " + write_figure(rule.type, rule.low) + " to " +
-                       write_figure(rule.type, high),
+    if (quantity < rule.low || quantity > high)
+      return wrong("'" + key + "' must be from " + format_quantity(rule.type, rule.low) + " to " +
+                       format_quantity(rule.type, high),
                    "");
-    if (rule.type == Type::kRate && figure <= 0)
+    if (rule.type == Type::kRate && quantity <= 0)
       return wrong("a rate of 0 lets nothing through", "leave '" + key + "' out for no limit");
     return true;
   }
@@ -250,7 +250,7 @@
       std::size_t end = std::min(host.find('.', at), host.size());
       double part = 0;
       if (end == at || end - at > 3 ||
-          !read_figure(Type::kInteger, std::string_view(host).substr(at, end - at), part) ||
+          !parse_quantity(Type::kInteger, std::string_view(host).substr(at, end - at), part) ||
           part < 0 || part > 255)
         return false;
       ++parts;
@@ -258,7 +258,7 @@
     }
     double port = 0;
     return parts == 4 &&
-           read_figure(Type::kInteger, std::string_view(text).substr(colon + 1), port) &&
+           parse_quantity(Type::kInteger, std::string_view(text).substr(colon + 1), port) &&
            port >= 1 && port <= 65535;
   }
 
@@ -281,15 +281,15 @@
     if (known.count(name)) return;
     std::vector<std::string_view> words;
     for (const auto& [k, node] : known) words.push_back(k);
-    auto near = nearest(name, words);
+    auto suggestion = closest_match(name, words);
     out_.diagnostics.add(at, kind + " '" + name + "' is not defined",
-                         near.empty() ? "define it: " + kind + " " + name + " { ... }"
-                                      : "did you mean '" + std::string(near) + "'?",
+                         suggestion.empty() ? "define it: " + kind + " " + name + " { ... }"
+                                            : "did you mean '" + std::string(suggestion) + "'?",
                          length);
   }
 
   void resolve() {
-    std::function<void(const Record&)> look = [&](const Record& record) {
+    std::function<void(const Record&)> visit = [&](const Record& record) {
       for (const auto& [key, node] : record.settings) {
         for (const KeyRule& k : record.rule->keys) {
           if (k.refers.empty() || (!record.rule->free_keys && k.key != key)) continue;
@@ -302,9 +302,9 @@
             refer(std::string(k.refers), node->value.text, node->value.at, node->value.length);
         }
       }
-      for (const Record& inner : record.below) look(inner);
+      for (const Record& inner : record.children) visit(inner);
     };
-    for (const Record& record : records_) look(record);
+    for (const Record& record : records_) visit(record);
   }
 
   struct Reader {
@@ -314,16 +314,16 @@
       return it == r.settings.end() ? nullptr : &it->second->value;
     }
     std::string text(const char* key) const { return find(key) ? find(key)->text : std::string(); }
-    double figure(const char* key, double absent) const {
+    double quantity(const char* key, double fallback) const {
       const Value* v = find(key);
-      if (!v) return absent;
-      double f = absent;
+      if (!v) return fallback;
+      double f = fallback;
       for (const KeyRule& k : r.rule->keys)
-        if (k.key == key) read_figure(k.type, v->text, f);
+        if (k.key == key) parse_quantity(k.type, v->text, f);
       return f;
     }
-    std::int64_t integer(const char* key, std::int64_t absent) const {
-      return static_cast<std::int64_t>(figure(key, static_cast<double>(absent)));
+    std::int64_t integer(const char* key, std::int64_t fallback) const {
+      return static_cast<std::int64_t>(quantity(key, static_cast<double>(fallback)));
     }
     std::vector<std::string> texts(const char* key) const {
       const Value* v = find(key);
@@ -347,14 +347,14 @@
       Reader r{record};
       const std::string& name = record.node->name;
       std::string_view kind = record.rule->kind;
-      Place place{record.node->name_at, record.node->name_length, {}};
-      for (const auto& [key, node] : record.settings) place.keys[key] = node->value.at;
-      places_[std::string(kind) + " " + name] = place;
+      SectionPosition position{record.node->name_at, record.node->name_length, {}};
+      for (const auto& [key, node] : record.settings) position.keys[key] = node->value.at;
+      positions_[std::string(kind) + " " + name] = position;
       if (kind == "listener") m.listeners[name] = {r.text("address")};
       if (kind == "log") {
         Log& l = m.logs[name] = {r.text("format"), r.text("level")};
         if (l.level.empty()) l.level = "info";
-        auto among = [&](const char* key, const std::string& value, const char* choices) {
+        auto check_choice = [&](const char* key, const std::string& value, const char* choices) {
           if (value.empty() ||
               (" " + std::string(choices) + " ").find(" " + value + " ") != std::string::npos)
             return;
@@ -362,8 +362,8 @@
           out_.diagnostics.add(v->at, "'" + value + "' is no " + key + " of a log",
                                "one of: " + std::string(choices), v->length);
         };
-        among("format", l.format, "text logfmt json");
-        among("level", r.text("level"), "info warn error");
+        check_choice("format", l.format, "text logfmt json");
+        check_choice("level", r.text("level"), "info warn error");
         if (m.logs.size() > 1)
           out_.diagnostics.add(record.node->at, "a second log", "one process has one",
                                record.node->length);
@@ -385,9 +385,9 @@
       if (kind == "peer") m.peers[name] = {r.text("address"), r.text("hall")};
       if (kind == "rollout") {
         m.rollouts[name] = {r.text("file"), r.integer("spread", Rollout().spread)};
-        if (m.rollouts.size() > kMostRollouts)
+        if (m.rollouts.size() > kMaxRollouts)
           out_.diagnostics.add(record.node->at, "too many roll-outs",
-                               "at most " + std::to_string(kMostRollouts), record.node->length);
+                               "at most " + std::to_string(kMaxRollouts), record.node->length);
       }
       if (kind == "ledger") {
         Ledger& l = m.ledgers[name];
@@ -412,7 +412,7 @@
                            r.text("limit")};
       if (kind == "tenant") m.tenants[name] = {r.text("limit")};
       if (kind == "limit") {
-        Limit l{r.figure("rate", 0), r.integer("burst", 0), r.integer("in_flight", 0),
+        Limit l{r.quantity("rate", 0), r.integer("burst", 0), r.integer("in_flight", 0),
                 r.integer("come_back", 0)};
         // A tenth of a second's worth where nothing else is said, at least one.
         if (l.rate > 0 && !r.find("burst"))
@@ -420,7 +420,8 @@
         m.limits[name] = l;
       }
       if (kind == "budget")
-        m.budgets[name] = {r.figure("retries", 0), r.figure("hedges", 0), r.figure("floor", 0)};
+        m.budgets[name] = {r.quantity("retries", 0), r.quantity("hedges", 0),
+                           r.quantity("floor", 0)};
       if (kind == "pool") {
         Pool p;
         p.zones = r.sorted("halls"), p.kinds = r.sorted("kinds"), p.hosts = r.sorted("hosts"),
@@ -428,15 +429,15 @@
         for (const std::string& b : r.sorted("blocks")) p.blocks.push_back(std::stoll(b));
         std::sort(p.blocks.begin(), p.blocks.end());
         p.limit = r.text("limit"), p.budget = r.text("budget");
-        for (const Record& shares : record.below)
+        for (const Record& shares : record.children)
           for (const auto& [tenant, node] : shares.settings) {
             double part = 0;
-            read_figure(Type::kPercent, node->value.text, part);
+            parse_quantity(Type::kPercent, node->value.text, part);
             p.shares[tenant] = part;
           }
-        if (record.below.size() > 1)
-          out_.diagnostics.add(record.below[1].node->at, "'shares' stands twice in this pool", "",
-                               record.below[1].node->length);
+        if (record.children.size() > 1)
+          out_.diagnostics.add(record.children[1].node->at, "'shares' stands twice in this pool",
+                               "", record.children[1].node->length);
         m.pools[name] = p;
       }
       if (kind == "route") {
@@ -445,9 +446,9 @@
         t.prefix = r.text("prefix");
         t.pool = r.text("pool"), t.fallbacks = r.texts("fallbacks"), t.limit = r.text("limit"),
         t.budget = r.text("budget");
-        t.failover_at = r.figure("fall_over_at", t.failover_at),
-        t.failback_at = r.figure("fall_back_at", std::min(t.failback_at, t.failover_at));
-        t.spill = r.figure("spill", t.spill);
+        t.failover_at = r.quantity("fall_over_at", t.failover_at),
+        t.failback_at = r.quantity("fall_back_at", std::min(t.failback_at, t.failover_at));
+        t.spill = r.quantity("spill", t.spill);
         m.routes[name] = t;
       }
     }
@@ -460,15 +461,16 @@
   std::vector<const Node*> order_;
   std::vector<Record> records_;
   std::map<std::string, std::map<std::string, const Node*>> names_;
-  std::set<std::pair<const Node*, std::string>> lost_;  // keys that were there but can't be used
-  Places places_;
+  std::set<std::pair<const Node*, std::string>>
+      invalid_keys_;  // keys that were there but can't be used
+  SectionPositions positions_;
 };
 
 }  // namespace
 
 Compiled compile(const std::string& name, const std::string& text, const Loader& load) {
   Compiled out;
-  if (text.size() > kMostBytes) {
+  if (text.size() > kMaxTotalBytes) {
     out.sources.add(name, "");
     out.diagnostics.add({0, 1, 1}, "the file is larger than 16 MiB", "");
     return out;
--- a/src/core/config/diff.cpp
+++ b/src/core/config/diff.cpp
@@ -18,10 +18,10 @@
   std::string text;
   auto add = [&](const std::string& part) { text += (text.empty() ? "" : ", ") + part; };
   if (l.rate > 0)
-    add(write_figure(Type::kRate, l.rate) + " with bursts of " + std::to_string(l.burst));
+    add(format_quantity(Type::kRate, l.rate) + " with bursts of " + std::to_string(l.burst));
   if (l.in_flight > 0) add(std::to_string(l.in_flight) + " in flight");
   if (l.retry_after > 0)
-    add("come back after " + write_figure(Type::kDuration, static_cast<double>(l.retry_after)));
+    add("come back after " + format_quantity(Type::kDuration, static_cast<double>(l.retry_after)));
   return text.empty() ? "none" : text;
 }
 
@@ -34,8 +34,9 @@
   auto it = m.budgets.find(name);
   if (it == m.budgets.end()) return "none";
   const Budget& b = it->second;
-  return "retries " + write_figure(Type::kShare, b.retries) + ", hedges " +
-         write_figure(Type::kShare, b.hedges) + ", floor " + write_figure(Type::kRate, b.floor);
+  return "retries " + format_quantity(Type::kShare, b.retries) + ", hedges " +
+         format_quantity(Type::kShare, b.hedges) + ", floor " +
+         format_quantity(Type::kRate, b.floor);
 }
 
 std::string pool_text(const Model& m, const std::string& name) {
@@ -53,7 +54,7 @@
   add("blocks", blocks);
   if (text.empty()) text = "the whole list";
   for (const auto& [tenant, share] : p.shares)
-    text += "; " + tenant + " " + write_figure(Type::kPercent, share);
+    text += "; " + tenant + " " + format_quantity(Type::kPercent, share);
   return text + "; limit " + limit_text(m, p.limit) + "; budget " + budget_text(m, p.budget);
 }
 
@@ -108,9 +109,9 @@
   std::string text = "pool {" + pool_text(model, r.pool) + "}";
   for (const std::string& f : r.fallbacks) text += ", then {" + pool_text(model, f) + "}";
   if (!r.fallbacks.empty())
-    text += " over at " + write_figure(Type::kPercent, r.failover_at) + ", back at " +
-            write_figure(Type::kPercent, r.failback_at) + ", spill " +
-            write_figure(Type::kPercent, r.spill);
+    text += " over at " + format_quantity(Type::kPercent, r.failover_at) + ", back at " +
+            format_quantity(Type::kPercent, r.failback_at) + ", spill " +
+            format_quantity(Type::kPercent, r.spill);
   return text + ", limit " + limit_text(model, r.limit) + ", budget " +
          budget_text(model, r.budget);
 }
@@ -135,9 +136,9 @@
   }
   // Combinations are told where they differ from what is told for a less specific one, so that one
   // change gives one line. More than this many are told by the routes' own matches alone.
-  constexpr std::size_t kMostCombinations = 200'000;
+  constexpr std::size_t kMaxCombinations = 200'000;
   std::vector<RouteMatch> matches;
-  if (listeners.size() * tenants.size() * types.size() * prefixes.size() <= kMostCombinations) {
+  if (listeners.size() * tenants.size() * types.size() * prefixes.size() <= kMaxCombinations) {
     for (const auto& l : listeners)
       for (const auto& t : tenants)
         for (const auto& c : types)
@@ -210,9 +211,9 @@
     auto text = [](const Model& m) {
       if (m.audits.empty()) return std::string("off");
       const Audit& a = m.audits.begin()->second;
-      return a.folder + ", " + write_figure(Type::kSize, static_cast<double>(a.size)) + ", " +
-             write_figure(Type::kDuration, static_cast<double>(a.keep)) + ", every " +
-             write_figure(Type::kDuration, static_cast<double>(a.every));
+      return a.folder + ", " + format_quantity(Type::kSize, static_cast<double>(a.size)) + ", " +
+             format_quantity(Type::kDuration, static_cast<double>(a.keep)) + ", every " +
+             format_quantity(Type::kDuration, static_cast<double>(a.every));
     };
     out.push_back({"audit",
                    "audit's trail",
@@ -223,7 +224,7 @@
     auto text = [](const Model& m) {
       if (m.recorders.empty()) return std::string("off");
       const Recorder& r = m.recorders.begin()->second;
-      return r.file + ", " + write_figure(Type::kSize, static_cast<double>(r.size));
+      return r.file + ", " + format_quantity(Type::kSize, static_cast<double>(r.size));
     };
     out.push_back({"recorder",
                    "flight recorder",
--- a/src/core/config/format.cpp
+++ b/src/core/config/format.cpp
@@ -30,23 +30,23 @@
       out_ += '#' + line + '\n';
     }
   }
-  void end_line(const std::string& behind) {
-    if (!behind.empty()) out_ += "  " + behind;
+  void end_line(const std::string& trailing_comment) {
+    if (!trailing_comment.empty()) out_ += "  " + trailing_comment;
     out_ += '\n';
   }
 
   static std::string scalar(const Value& v, std::optional<Type> type) {
     if (v.kind == Value::Kind::kText) return quoted(v.text);
-    double figure = 0;
-    if (v.kind == Value::Kind::kNumber && type && read_figure(*type, v.text, figure))
-      return write_figure(*type, figure);
+    double quantity = 0;
+    if (v.kind == Value::Kind::kNumber && type && parse_quantity(*type, v.text, quantity))
+      return format_quantity(*type, quantity);
     return v.text;
   }
 
-  void write(const std::vector<Node>& nodes, int depth, const std::string& below) {
+  void write(const std::vector<Node>& nodes, int depth, const std::string& parent_kind) {
     const SectionRule* inside = nullptr;
     for (const SectionRule& rule : sections())
-      if (rule.kind == below) inside = &rule;
+      if (rule.kind == parent_kind) inside = &rule;
     bool first = true, before_was_block = false;
     for (const Node& node : nodes) {
       bool block = node.kind == Node::Kind::kBlock;
@@ -59,12 +59,12 @@
         out_ += node.key;
         if (!node.name.empty()) out_ += ' ' + (plain(node.name) ? node.name : quoted(node.name));
         out_ += " {";
-        end_line(node.behind);
+        end_line(node.trailing_comment);
         write(node.nodes, depth + 1, node.key);
         comments(node.closing_comments, depth + 1);
         indent(depth);
         out_ += '}';
-        end_line(node.closing_behind);
+        end_line(node.closing_trailing_comment);
         continue;
       }
       std::optional<Type> type;
@@ -82,7 +82,7 @@
         out_ += scalar(node.value, type);
       }
       out_ += ';';
-      end_line(node.behind);
+      end_line(node.trailing_comment);
     }
   }
 
--- a/src/core/config/lexer.cpp
+++ b/src/core/config/lexer.cpp
@@ -3,7 +3,7 @@
 namespace violetusher::core::config {
 namespace {
 
-constexpr std::size_t kMostToken = 4096;  // bytes of one token
+constexpr std::size_t kMaxTokenBytes = 4096;  // bytes of one token
 
 bool starts_name(char c) { return (c >= 'a' && c <= 'z') || (c >= 'A' && c <= 'Z') || c == '_'; }
 bool digit(char c) { return c >= '0' && c <= '9'; }
@@ -20,7 +20,7 @@
   std::vector<Token> run() {
     while (!diagnostics_.full()) {
       skip();
-      if (here_ == text_.size()) break;
+      if (offset_ == text_.size()) break;
       token();
     }
     Token end;
@@ -32,7 +32,7 @@
 
  private:
   void step() {
-    if (text_[here_++] == '\n') {
+    if (text_[offset_++] == '\n') {
       ++at_.line;
       at_.column = 1;
     } else {
@@ -42,26 +42,26 @@
 
   /// White space and comments; a comment on the line of the last token is that one's.
   void skip() {
-    while (here_ < text_.size()) {
-      char c = text_[here_];
+    while (offset_ < text_.size()) {
+      char c = text_[offset_];
       if (c == ' ' || c == '\t' || c == '\r' || c == '\n') {
         step();
       } else if (c == '#') {
-        std::size_t begin = here_ + 1;
+        std::size_t begin = offset_ + 1;
         Position at = at_;
         bool bad = false;
-        while (here_ < text_.size() && text_[here_] != '\n') {
-          bad |= text_[here_] == '\0';
+        while (offset_ < text_.size() && text_[offset_] != '\n') {
+          bad |= text_[offset_] == '\0';
           step();
         }
         if (bad) diagnostics_.add(at, "a zero byte in a comment", "operator files are plain text");
-        std::string comment(text_.substr(begin, here_ - begin));
+        std::string comment(text_.substr(begin, offset_ - begin));
         while (!comment.empty() &&
                (comment.back() == ' ' || comment.back() == '\r' || comment.back() == '\t'))
           comment.pop_back();
         if (!tokens_.empty() && tokens_.back().at.line == at.line && comments_.empty() &&
-            tokens_.back().behind.empty())
-          tokens_.back().behind = "#" + comment;
+            tokens_.back().trailing_comment.empty())
+          tokens_.back().trailing_comment = "#" + comment;
         else
           comments_.push_back(comment);
       } else {
@@ -83,8 +83,8 @@
 
   void token() {
     Position at = at_;
-    std::size_t begin = here_;
-    char c = text_[here_];
+    std::size_t begin = offset_;
+    char c = text_[offset_];
     auto one = [&](Token::Kind kind) {
       step();
       push(kind, at, std::string(1, c), 1);
@@ -110,23 +110,24 @@
         break;
     }
     if (starts_name(c) || digit(c) ||
-        (c == '-' && here_ + 1 < text_.size() && digit(text_[here_ + 1]))) {
+        (c == '-' && offset_ + 1 < text_.size() && digit(text_[offset_ + 1]))) {
       bool number = !starts_name(c);
       step();
-      while (here_ < text_.size() && (number ? in_number(text_[here_]) : in_name(text_[here_])))
+      while (offset_ < text_.size() &&
+             (number ? in_number(text_[offset_]) : in_name(text_[offset_])))
         step();
-      if (here_ - begin > kMostToken) {
-        diagnostics_.add(at, "a word of " + std::to_string(here_ - begin) + " bytes",
+      if (offset_ - begin > kMaxTokenBytes) {
+        diagnostics_.add(at, "a word of " + std::to_string(offset_ - begin) + " bytes",
                          "4096 at most");
         return;
       }
       push(number ? Token::Kind::kNumber : Token::Kind::kName, at,
-           std::string(text_.substr(begin, here_ - begin)), here_ - begin);
+           std::string(text_.substr(begin, offset_ - begin)), offset_ - begin);
       return;
     }
     // A run of what can't begin a token gives one message.
-    while (here_ < text_.size() && !starts_name(text_[here_]) && !digit(text_[here_]) &&
-           std::string_view(" \t\r\n#{}=;,[]\"").find(text_[here_]) == std::string_view::npos)
+    while (offset_ < text_.size() && !starts_name(text_[offset_]) && !digit(text_[offset_]) &&
+           std::string_view(" \t\r\n#{}=;,[]\"").find(text_[offset_]) == std::string_view::npos)
       step();
     auto byte = static_cast<unsigned char>(c);
     std::string shown = byte == 0                  ? "a zero byte"
@@ -134,20 +135,20 @@
                                                    : std::string("'") + c + "'";
     diagnostics_.add(at, shown + " has no meaning here",
                      "texts stand in quotes, comments behind '#'",
-                     static_cast<std::uint32_t>(here_ - begin));
+                     static_cast<std::uint32_t>(offset_ - begin));
   }
 
   void quoted() {
     Position at = at_;
-    std::size_t begin = here_;
+    std::size_t begin = offset_;
     std::string value;
     step();
-    while (here_ < text_.size() && text_[here_] != '"' && text_[here_] != '\n') {
-      char c = text_[here_];
-      if (c == '\\' && here_ + 1 < text_.size() &&
-          (text_[here_ + 1] == '"' || text_[here_ + 1] == '\\')) {
+    while (offset_ < text_.size() && text_[offset_] != '"' && text_[offset_] != '\n') {
+      char c = text_[offset_];
+      if (c == '\\' && offset_ + 1 < text_.size() &&
+          (text_[offset_ + 1] == '"' || text_[offset_ + 1] == '\\')) {
         step();
-        c = text_[here_];
+        c = text_[offset_];
       } else if (c == '\\') {
         diagnostics_.add(at_, "'\\' before something else than '\"' or '\\'",
                          "write '\\\\' for one '\\'");
@@ -157,21 +158,21 @@
       value += c;
       step();
     }
-    if (here_ == text_.size() || text_[here_] == '\n') {
+    if (offset_ == text_.size() || text_[offset_] == '\n') {
       diagnostics_.add(at, "a text that does not end on its line", "close it with '\"'");
     } else {
       step();
     }
-    if (value.size() > kMostToken) {
+    if (value.size() > kMaxTokenBytes) {
       diagnostics_.add(at, "a text of " + std::to_string(value.size()) + " bytes", "4096 at most");
-      value.resize(kMostToken);
+      value.resize(kMaxTokenBytes);
     }
-    push(Token::Kind::kText, at, std::move(value), here_ - begin);
+    push(Token::Kind::kText, at, std::move(value), offset_ - begin);
   }
 
   std::string_view text_;
   Diagnostics& diagnostics_;
-  std::size_t here_ = 0;
+  std::size_t offset_ = 0;
   Position at_;
   std::vector<Token> tokens_;
   std::vector<std::string> comments_;
@@ -179,7 +180,7 @@
 
 }  // namespace
 
-std::vector<Token> cut(const Sources& sources, std::uint32_t file, Diagnostics& diagnostics) {
+std::vector<Token> tokenize(const Sources& sources, std::uint32_t file, Diagnostics& diagnostics) {
   diagnostics.enter(Diagnostic::Stage::kLexer);
   return Lexer(sources, file, diagnostics).run();
 }
--- a/src/core/config/model.hpp
+++ b/src/core/config/model.hpp
@@ -135,9 +135,9 @@
 };
 
 /// Bounds on all files of one configuration together.
-inline constexpr std::size_t kMostBytes = 16u << 20;
-inline constexpr std::size_t kMostFiles = 256;
-inline constexpr std::size_t kMostRollouts = 4;
+inline constexpr std::size_t kMaxTotalBytes = 16u << 20;
+inline constexpr std::size_t kMaxFiles = 256;
+inline constexpr std::size_t kMaxRollouts = 4;
 
 /// Gives the text of a file that is included as `name` from `from`, and the name by which it is
 /// known (a path made plain), or a reason why it can't be had.
--- a/src/core/config/parser.cpp
+++ b/src/core/config/parser.cpp
@@ -3,15 +3,15 @@
 namespace violetusher::core::config {
 namespace {
 
-constexpr int kDeepest = 8;  // blocks or lists inside one another
+constexpr int kMaxDepth = 8;  // blocks or lists inside one another
 
 class Parser {
  public:
   Parser(const Sources& sources, std::uint32_t file, Diagnostics& diagnostics)
-      : before_(diagnostics.count()),
-        tokens_(cut(sources, file, diagnostics)),
+      : errors_before_(diagnostics.count()),
+        tokens_(tokenize(sources, file, diagnostics)),
         diagnostics_(diagnostics),
-        spoilt_(diagnostics.count() > before_) {
+        lexer_failed_(diagnostics.count() > errors_before_) {
     diagnostics.enter(Diagnostic::Stage::kParser);
   }
 
@@ -19,7 +19,7 @@
     Tree tree;
     while (!is(Token::Kind::kEnd) && !diagnostics_.full()) {
       if (is(Token::Kind::kClose)) {
-        diagnostics_.add(here().at, "'}' closes nothing", "");
+        diagnostics_.add(current().at, "'}' closes nothing", "");
         ++at_;
         continue;
       }
@@ -31,10 +31,10 @@
   }
 
  private:
-  const Token& here() const { return tokens_[at_]; }
-  bool is(Token::Kind kind) const { return here().kind == kind; }
+  const Token& current() const { return tokens_[at_]; }
+  bool is(Token::Kind kind) const { return current().kind == kind; }
 
-  static std::string word_of(const Token& t) {
+  static std::string describe_token(const Token& t) {
     switch (t.kind) {
       case Token::Kind::kEnd:
         return "the end of the file";
@@ -47,16 +47,16 @@
 
   void expected(const std::string& what, const std::string& hint = "") {
     // Of what is missing it helps to point behind the last thing that was there.
-    const Token& t = here();
-    if (spoilt_ && t.kind == Token::Kind::kEnd) return;
+    const Token& t = current();
+    if (lexer_failed_ && t.kind == Token::Kind::kEnd) return;
     bool missing = what == "';'" && at_ > 0;
     if (missing) {
       const Token& before = tokens_[at_ - 1];
-      Position behind = before.at;
-      behind.column += before.length;
-      diagnostics_.add(behind, "';' is missing", "each setting ends with ';'");
+      Position end = before.at;
+      end.column += before.length;
+      diagnostics_.add(end, "';' is missing", "each setting ends with ';'");
     } else {
-      diagnostics_.add(t.at, "expected " + what + ", found " + word_of(t), hint,
+      diagnostics_.add(t.at, "expected " + what + ", found " + describe_token(t), hint,
                        std::max(1u, t.length));
     }
   }
@@ -81,11 +81,11 @@
 
   bool semicolon(Node& node) {
     if (is(Token::Kind::kSemicolon)) {
-      node.behind = here().behind;
+      node.trailing_comment = current().trailing_comment;
       ++at_;
       return true;
     }
-    bool next_line = at_ > 0 && here().at.line > tokens_[at_ - 1].at.line;
+    bool next_line = at_ > 0 && current().at.line > tokens_[at_ - 1].at.line;
     expected("';'");
     if (!next_line && !is(Token::Kind::kClose)) recover();
     return true;  // what was set is meant
@@ -93,26 +93,26 @@
 
   /// Comments in the midst of a node go before it: none is lost, and the canonical form has no
   /// place there. `last` is the node's last token, whose own comment behind it stays there.
-  void gather(Node& node, std::size_t from, std::size_t last) {
+  void collect_comments(Node& node, std::size_t from, std::size_t last) {
     for (std::size_t k = from; k <= last && k < tokens_.size(); ++k) {
       if (k > from)
         node.comments.insert(node.comments.end(), tokens_[k].comments.begin(),
                              tokens_[k].comments.end());
-      if (k < last && !tokens_[k].behind.empty())
-        node.comments.push_back(tokens_[k].behind.substr(1));
+      if (k < last && !tokens_[k].trailing_comment.empty())
+        node.comments.push_back(tokens_[k].trailing_comment.substr(1));
     }
   }
 
   bool read_node(Node& node, int depth) {
     std::size_t from = at_;
     bool good = read_rest(node, depth);
-    if (node.kind != Node::Kind::kBlock && good) gather(node, from, at_ - 1);
+    if (node.kind != Node::Kind::kBlock && good) collect_comments(node, from, at_ - 1);
     return good;
   }
 
   bool read_rest(Node& node, int depth) {
     std::size_t from = at_;
-    const Token& first = here();
+    const Token& first = current();
     node.at = first.at;
     node.length = first.length;
     node.comments = first.comments;
@@ -148,9 +148,9 @@
     }
     node.kind = Node::Kind::kBlock;
     if (is(Token::Kind::kName) || is(Token::Kind::kText)) {
-      node.name = here().text;
-      node.name_at = here().at;
-      node.name_length = here().length;
+      node.name = current().text;
+      node.name_at = current().at;
+      node.name_length = current().length;
       ++at_;
     } else {
       node.name_at = node.at;
@@ -158,35 +158,35 @@
     }
     if (!is(Token::Kind::kOpen))
       return fail("'=' or '{'", "settings are KEY = VALUE; and sections KIND NAME { ... }");
-    if (depth + 1 > kDeepest) {
-      diagnostics_.add(here().at, "sections inside one another more than 8 deep", "");
+    if (depth + 1 > kMaxDepth) {
+      diagnostics_.add(current().at, "sections inside one another more than 8 deep", "");
       recover();
       return false;
     }
-    node.behind = here().behind;
-    gather(node, from, at_);
-    Position opened = here().at;
+    node.trailing_comment = current().trailing_comment;
+    collect_comments(node, from, at_);
+    Position opened = current().at;
     ++at_;
     while (!is(Token::Kind::kClose)) {
       if (is(Token::Kind::kEnd) || diagnostics_.full()) {
-        if (!diagnostics_.full() && !spoilt_)
+        if (!diagnostics_.full() && !lexer_failed_)
           diagnostics_.add(opened, "'{' is not closed", "close the section with '}'");
         return true;
       }
       Node inner;
       if (read_node(inner, depth + 1)) node.nodes.push_back(std::move(inner));
     }
-    node.closing_comments = here().comments;
-    node.closing_behind = here().behind;
+    node.closing_comments = current().comments;
+    node.closing_trailing_comment = current().trailing_comment;
     ++at_;
     if (is(Token::Kind::kSemicolon)) {  // many write one; it means nothing
-      const Token& t = here();
+      const Token& t = current();
       node.closing_comments.insert(node.closing_comments.end(), t.comments.begin(),
                                    t.comments.end());
-      if (node.closing_behind.empty())
-        node.closing_behind = t.behind;
-      else if (!t.behind.empty())
-        node.closing_comments.push_back(t.behind.substr(1));
+      if (node.closing_trailing_comment.empty())
+        node.closing_trailing_comment = t.trailing_comment;
+      else if (!t.trailing_comment.empty())
+        node.closing_comments.push_back(t.trailing_comment.substr(1));
       ++at_;
     }
     return true;
@@ -199,7 +199,7 @@
   }
 
   Value scalar() {
-    const Token& t = here();
+    const Token& t = current();
     Value v;
     v.kind = t.kind == Token::Kind::kText     ? Value::Kind::kText
              : t.kind == Token::Kind::kNumber ? Value::Kind::kNumber
@@ -221,10 +221,10 @@
       return false;
     }
     value.kind = Value::Kind::kList;
-    value.at = here().at;
+    value.at = current().at;
     value.length = 1;
     if (depth > 0) {
-      diagnostics_.add(here().at, "a list inside a list", "lists hold names, texts and numbers");
+      diagnostics_.add(current().at, "a list inside a list", "lists hold names, texts and numbers");
       return false;
     }
     ++at_;
@@ -243,11 +243,11 @@
     return true;
   }
 
-  std::size_t before_;
+  std::size_t errors_before_;
   std::vector<Token> tokens_;
   std::size_t at_ = 0;
   Diagnostics& diagnostics_;
-  bool spoilt_;  // the lexer left something out: that the file ends too early is no wonder
+  bool lexer_failed_;  // the lexer left something out: that the file ends too early is no wonder
 };
 
 }  // namespace
--- a/src/core/config/schema.cpp
+++ b/src/core/config/schema.cpp
@@ -82,7 +82,7 @@
     {.kind = "limit", .keys = kLimit},
     {.kind = "budget", .keys = kBudget},
     {.kind = "pool", .keys = kPool},
-    {.kind = "shares", .keys = kShares, .named = false, .below = "pool", .free_keys = true},
+    {.kind = "shares", .keys = kShares, .named = false, .parent_kind = "pool", .free_keys = true},
     {.kind = "route", .keys = kRoute},
     {.kind = "recorder", .keys = kRecorder},
     {.kind = "log", .keys = kLog},
@@ -93,7 +93,7 @@
 
 struct Unit {
   std::string_view name;
-  double times;
+  double factor;
 };
 constexpr Unit kDurations[] = {{"us", 1}, {"ms", 1e3}, {"s", 1e6}, {"min", 6e7}};
 constexpr Unit kSizes[] = {{"B", 1}, {"KiB", 1024}, {"MiB", 1048576}, {"GiB", 1073741824}};
@@ -121,9 +121,9 @@
 
 std::span<const SectionRule> sections() { return kSections; }
 
-const SectionRule* find_section(std::string_view kind, std::string_view below) {
+const SectionRule* find_section(std::string_view kind, std::string_view parent_kind) {
   for (const SectionRule& rule : kSections)
-    if (rule.kind == kind && rule.below == below) return &rule;
+    if (rule.kind == kind && rule.parent_kind == parent_kind) return &rule;
   return nullptr;
 }
 
@@ -182,7 +182,7 @@
   return "";
 }
 
-bool read_figure(Type type, std::string_view text, double& figure) {
+bool parse_quantity(Type type, std::string_view text, double& quantity) {
   double value = 0;
   auto [end, error] = std::from_chars(text.data(), text.data() + text.size(), value);
   if (error != std::errc() || !std::isfinite(value)) return false;
@@ -192,23 +192,23 @@
     if (type == Type::kInteger && (value != std::floor(value) || std::abs(value) > 9e15))
       return false;
     // Durations and sizes are whole microseconds and bytes.
-    figure = type == Type::kDuration || type == Type::kSize ? std::round(value * u.times)
-                                                            : value * u.times;
+    quantity = type == Type::kDuration || type == Type::kSize ? std::round(value * u.factor)
+                                                              : value * u.factor;
     return true;
   }
   return false;
 }
 
-std::string write_figure(Type type, double figure) {
+std::string format_quantity(Type type, double quantity) {
   auto units = units_of(type);
   const Unit* best = &units[0];
   // The largest unit in which it is a whole number; rates stay by the second, as people compare
   // them.
   if (type == Type::kDuration || type == Type::kSize)
     for (const Unit& u : units)
-      if (figure != 0 && std::fmod(figure, u.times) == 0) best = &u;
-  double scaled = figure / best->times;
-  if (type == Type::kPercent || type == Type::kShare) scaled = figure * 100;
+      if (quantity != 0 && std::fmod(quantity, u.factor) == 0) best = &u;
+  double scaled = quantity / best->factor;
+  if (type == Type::kPercent || type == Type::kShare) scaled = quantity * 100;
   // The shortest digits that are read back as the same figure: units must not eat bits.
   char text[64];
   for (int digits = 6; digits <= 17; ++digits) {
@@ -217,14 +217,14 @@
     // An exponent would not be read as part of a number with a unit by everybody: written out.
     if (std::string_view(text).find('e') != std::string_view::npos)
       std::snprintf(text, sizeof text, "%.0f", scaled);
-    if (read_figure(type, text + std::string(best->name), back) && back == figure) break;
+    if (parse_quantity(type, text + std::string(best->name), back) && back == quantity) break;
   }
   return text + std::string(best->name);
 }
 
-std::string_view nearest(std::string_view word, std::span<const std::string_view> known) {
+std::string_view closest_match(std::string_view word, std::span<const std::string_view> known) {
   std::string_view best;
-  std::size_t least = word.size() <= 3 ? 2 : 3;  // so many changes or more are no slip of a finger
+  std::size_t limit = word.size() <= 3 ? 2 : 3;  // so many changes or more are no slip of a finger
   for (std::string_view k : known) {
     std::vector<std::size_t> row(k.size() + 1);
     for (std::size_t j = 0; j <= k.size(); ++j) row[j] = j;
@@ -237,8 +237,8 @@
         row[j] = std::min({change, row[j] + 1, row[j - 1] + 1});
       }
     }
-    if (row[k.size()] < least) {
-      least = row[k.size()];
+    if (row[k.size()] < limit) {
+      limit = row[k.size()];
       best = k;
     }
   }
--- a/src/core/config/schema.hpp
+++ b/src/core/config/schema.hpp
@@ -35,25 +35,25 @@
 struct SectionRule {
   std::string_view kind;
   std::span<const KeyRule> keys;
-  bool named = true;            ///< `KIND NAME { }`, else `KIND { }`, once
-  std::string_view below = {};  ///< the kind of section that it stands in; empty = at the top
-  bool free_keys = false;       ///< any key, with values of keys[0]'s type; names of keys[0].refers
+  bool named = true;                  ///< `KIND NAME { }`, else `KIND { }`, once
+  std::string_view parent_kind = {};  ///< the kind of section that it stands in; empty = at the top
+  bool free_keys = false;  ///< any key, with values of keys[0]'s type; names of keys[0].refers
 };
 
 /// The sections that this version knows.
 std::span<const SectionRule> sections();
-const SectionRule* find_section(std::string_view kind, std::string_view below);
+const SectionRule* find_section(std::string_view kind, std::string_view parent_kind);
 
 /// For messages: "a duration", and how one is written.
 std::string_view describe(Type type);
 std::string_view example(Type type);
 
 /// The figure of a number with its unit in the type's own unit; false where it is none.
-bool read_figure(Type type, std::string_view text, double& figure);
+bool parse_quantity(Type type, std::string_view text, double& quantity);
 /// The shortest way to write a figure of that type.
-std::string write_figure(Type type, double figure);
+std::string format_quantity(Type type, double quantity);
 
 /// The known word nearest to a mistyped one; empty where none is near.
-std::string_view nearest(std::string_view word, std::span<const std::string_view> known);
+std::string_view closest_match(std::string_view word, std::span<const std::string_view> known);
 
 }  // namespace violetusher::core::config
--- a/src/core/config/source.cpp
+++ b/src/core/config/source.cpp
@@ -6,7 +6,7 @@
 namespace violetusher::core::config {
 namespace {
 
-constexpr std::size_t kWidest = 100;  // bytes of a shown line
+constexpr std::size_t kMaxShownBytes = 100;  // bytes of a shown line
 
 }  // namespace
 
@@ -30,18 +30,19 @@
   }
   std::size_t end = std::min(text.find('\n', begin), text.size());
   std::size_t column = d.at.column - 1;
-  std::size_t cut = column > kWidest * 2 / 3 ? column - kWidest / 2 : 0;
+  std::size_t cut = column > kMaxShownBytes * 2 / 3 ? column - kMaxShownBytes / 2 : 0;
   std::string line = begin + cut <= end
-                         ? text.substr(begin + cut, std::min(kWidest, end - begin - cut))
+                         ? text.substr(begin + cut, std::min(kMaxShownBytes, end - begin - cut))
                          : std::string();
   for (char& c : line)
     if (static_cast<unsigned char>(c) < 32 || c == 127) c = c == '\t' ? ' ' : '?';
-  std::size_t length = std::clamp<std::size_t>(d.length, 1, kWidest);
-  std::string shown = brief(d) + "\n  " + line + "\n  " + std::string(column - cut, ' ') + "^" +
-                      std::string(std::min(length, kWidest - std::min(kWidest, column - cut)) > 0
-                                      ? std::min(length, kWidest) - 1
-                                      : 0,
-                                  '~');
+  std::size_t length = std::clamp<std::size_t>(d.length, 1, kMaxShownBytes);
+  std::string shown =
+      brief(d) + "\n  " + line + "\n  " + std::string(column - cut, ' ') + "^" +
+      std::string(std::min(length, kMaxShownBytes - std::min(kMaxShownBytes, column - cut)) > 0
+                      ? std::min(length, kMaxShownBytes) - 1
+                      : 0,
+                  '~');
   if (!d.hint.empty()) shown += "\n  " + d.hint;
   return shown + "\n";
 }
@@ -60,7 +61,7 @@
     kept.push_back(std::move(d));
   }
   list_ = std::move(kept);
-  if (count_ < kMost) count_ = list_.size();
+  if (count_ < kMaxShown) count_ = list_.size();
 }
 
 }  // namespace violetusher::core::config
--- a/src/core/config/source.hpp
+++ b/src/core/config/source.hpp
@@ -46,9 +46,9 @@
 /// Collects diagnostics up to a bound: a file of rubbish gives a page of them and no more.
 class Diagnostics {
  public:
-  static constexpr std::size_t kMost = 100;
+  static constexpr std::size_t kMaxShown = 100;
   void add(Position at, std::string what, std::string hint = "", std::uint32_t length = 1) {
-    if (list_.size() < kMost)
+    if (list_.size() < kMaxShown)
       list_.push_back({at, length, std::move(what), std::move(hint), stage_});
     ++count_;
   }
@@ -56,7 +56,7 @@
   void enter(Diagnostic::Stage stage) { stage_ = stage; }
   bool none() const { return count_ == 0; }
   std::size_t count() const { return count_; }
-  bool full() const { return count_ >= kMost; }
+  bool full() const { return count_ >= kMaxShown; }
   const std::vector<Diagnostic>& list() const { return list_; }
   /// By file, line and column; of each line only what its earliest stage found, and one word of the
   /// lexer.
--- a/src/core/config/syntax.hpp
+++ b/src/core/config/syntax.hpp
@@ -30,11 +30,11 @@
   Position at;
   std::uint32_t length = 0;
   std::vector<std::string> comments;  ///< lines that stand before it, without their '#'
-  std::string behind;                 ///< a comment behind it on its line
+  std::string trailing_comment;       ///< a comment behind it on its line
 };
 
 /// Cuts a text into tokens. What can't be one is told and left out. The last token is kEnd.
-std::vector<Token> cut(const Sources& sources, std::uint32_t file, Diagnostics& diagnostics);
+std::vector<Token> tokenize(const Sources& sources, std::uint32_t file, Diagnostics& diagnostics);
 
 struct Value {
   enum class Kind { kName, kText, kNumber, kList };
@@ -56,7 +56,7 @@
   Position at, name_at;
   std::uint32_t length = 0, name_length = 0;
   std::vector<std::string> comments, closing_comments;
-  std::string behind, closing_behind;
+  std::string trailing_comment, closing_trailing_comment;
 };
 
 struct Tree {
--- a/src/daemon/loop_task_queue.hpp
+++ b/src/daemon/loop_task_queue.hpp
@@ -21,11 +21,11 @@
  private:
   static void on_ready(evutil_socket_t, short, void* self);
 
-  static void on_look(evutil_socket_t, short, void* self);
+  static void on_poll(evutil_socket_t, short, void* self);
   void run();
 
-  Fd bell_;
-  EventPtr event_, look_;
+  Fd wakeup_fd_;
+  EventPtr wakeup_event_, poll_event_;
   std::mutex mutex_;
   std::vector<std::function<void()>> tasks_;
 };
--- a/src/daemon/main.cpp
+++ b/src/daemon/main.cpp
@@ -30,34 +30,34 @@
 
 using namespace violetusher::net;
 
-constexpr int kWrongInput = 2;
+constexpr int kExitInvalidInput = 2;
 // At a start, how long calls that may only fail for now are tried again.
-constexpr Micros kReadPatience = 8 * kSecond, kListenPatience = 3 * kSecond;
-constexpr Micros kBansPatience = 5 * kSecond;
-constexpr Micros kTryEvery = 10 * kMillisecond;
-constexpr Micros kFirstReloadPause = 20 * kMillisecond, kLongestReloadPause = kSecond / 2;
+constexpr Micros kReadRetryTimeout = 8 * kSecond, kListenRetryTimeout = 3 * kSecond;
+constexpr Micros kBansRetryTimeout = 5 * kSecond;
+constexpr Micros kRetryInterval = 10 * kMillisecond;
+constexpr Micros kMinReloadRetryDelay = 20 * kMillisecond, kMaxReloadRetryDelay = kSecond / 2;
 
 /// Calls it until it says yes, for `patience` at most.
 template <typename Call>
-bool try_until(Micros patience, Call&& call) {
-  for (Micros waited = 0;; waited += kTryEvery) {
+bool retry_until(Micros timeout, Call&& call) {
+  for (Micros waited = 0;; waited += kRetryInterval) {
     if (call()) return true;
-    if (waited >= patience) return false;
-    std::this_thread::sleep_for(std::chrono::microseconds(kTryEvery));
+    if (waited >= timeout) return false;
+    std::this_thread::sleep_for(std::chrono::microseconds(kRetryInterval));
   }
 }
 
 /// The same of what throws UnreadableError while a file can't be read for now.
 template <typename Read>
-void read_until_done(Read&& read) {
-  bool done = try_until(kReadPatience, [&] {
+void retry_while_unreadable(Read&& read) {
+  bool done = retry_until(kReadRetryTimeout, [&] {
     try {
       read();
     } catch (const UnreadableError& e) {
       if (e.is_transient) return false;
       throw;
     } catch (const std::system_error& e) {  // no thread or descriptor to be had
-      if (result_of(e.code().value()) == CallResult::kPermanentError) throw;
+      if (classify_error(e.code().value()) == CallResult::kPermanentError) throw;
       return false;
     }
     return true;
@@ -65,14 +65,14 @@
   if (!done) read();
 }
 
-int complain(const std::string& what) {
+int fail(const std::string& what) {
   std::fprintf(stderr, "violetusher: %s\n", what.c_str());
   return 1;
 }
 
 int usage(const std::string& what) {
   std::fprintf(stderr, "violetusher: %s\nRun with --help for more information.\n", what.c_str());
-  return kWrongInput;
+  return kExitInvalidInput;
 }
 
 /// Reads everything, says what is wrong, and starts nothing.
@@ -88,7 +88,7 @@
     return 0;
   } catch (const ConfigError& e) {
     std::fprintf(stderr, "%s\n", e.what());
-    return kWrongInput;
+    return kExitInvalidInput;
   }
 }
 
@@ -101,32 +101,33 @@
         name_(config.name),
         operator_file_(operator_file),
         router_(io_, config, log_),
-        reload_alarm_(io_.alarm([this] { read_again(); })) {
+        reload_alarm_(io_.alarm([this] { try_reload(); })) {
     if (operator_file.empty()) return;
     auto model = load_operator_file(operator_file, &config);
     router_.update_listeners(model);
-    recorders_ = model.recorders;
-    hold_together(base, model);
-    keep_trail(base, model);
-    if (!model.recorders.empty()) record(model.recorders.begin()->second);
-    use(std::move(model));
+    initial_recorders_ = model.recorders;
+    start_ledger(base, model);
+    start_audit_trail(base, model);
+    if (!model.recorders.empty()) start_recorder(model.recorders.begin()->second);
+    apply_model(std::move(model));
   }
 
   /// Runs until a signal ends it. The exit code.
   int run(const std::string& listen) {
     // Without the bans the router would send to servers that are out.
-    if (!try_until(kBansPatience, [this] { return may_serve(); }))
-      say(Log::Level::kError, "bans-unread", "operator: the file of bans can't be read; goes on");
+    if (!retry_until(kBansRetryTimeout, [this] { return may_serve(); }))
+      log_event(Log::Level::kError, "bans-unread",
+                "operator: the file of bans can't be read; goes on");
     std::string error;
-    if (!try_until(kListenPatience, [&] { return router_.listen(error); })) {
-      say(Log::Level::kError, "listen-failed", "listen " + listen + ": " + error);
+    if (!retry_until(kListenRetryTimeout, [&] { return router_.listen(error); })) {
+      log_event(Log::Level::kError, "listen-failed", "listen " + listen + ": " + error);
       return 1;
     }
-    for (int number : {SIGTERM, SIGINT, SIGHUP, SIGUSR2}) violetusher::keep_signal(number);
-    router_.on_each_iteration([this] { act_on_signals(); });
+    for (int number : {SIGTERM, SIGINT, SIGHUP, SIGUSR2}) violetusher::capture_signal(number);
+    router_.on_each_iteration([this] { handle_signals(); });
     std::string host = listen.substr(0, listen.rfind(':'));
-    say(Log::Level::kInfo, "listening",
-        name_ + " listens on " + host + ":" + std::to_string(router_.port()));
+    log_event(Log::Level::kInfo, "listening",
+              name_ + " listens on " + host + ":" + std::to_string(router_.port()));
     router_.run();
     return 0;
   }
@@ -137,10 +138,11 @@
     return router_.may_serve();
   }
 
-  void act_on_signals() {
-    if (violetusher::take_signal(SIGHUP)) reload();
-    if (violetusher::take_signal(SIGUSR2)) copy();
-    bool term = violetusher::take_signal(SIGTERM), interrupt = violetusher::take_signal(SIGINT);
+  void handle_signals() {
+    if (violetusher::consume_signal(SIGHUP)) reload();
+    if (violetusher::consume_signal(SIGUSR2)) copy_recording();
+    bool term = violetusher::consume_signal(SIGTERM),
+         interrupt = violetusher::consume_signal(SIGINT);
     if (term || interrupt) stop();
   }
 
@@ -152,20 +154,22 @@
   }
 
   /// Where the operator file asks for it: what is promised here holds at every router.
-  void hold_together(event_base* base, const violetusher::core::config::Model& model) {
+  void start_ledger(event_base* base, const violetusher::core::config::Model& model) {
     if (model.ledgers.empty()) return;
 #ifdef VIOLETUSHER_LEDGER
     std::signal(SIGXFSZ, SIG_IGN);  // a disk that takes no more is told to the ledger alone
-    read_settings();
+    update_settings_digest();
     violetusher::ledger::Service::Handler handler;
     handler.on_bans_changed = [this](const std::set<std::string>& out) { router_.set_bans(out); };
     handler.log_event = [this](const std::string& event, const std::string& text) {
       io_.update_time();
-      say(Log::Level::kInfo, event, text);
+      log_event(Log::Level::kInfo, event, text);
     };
     handler.versions = [this] { return versions(); };
     handler.trail = [this] { return trail_ ? trail_->last_position() : std::string(); };
-    handler.apply_staged = [this](violetusher::ledger::RolloutFile& file) { return try_on(file); };
+    handler.apply_staged = [this](violetusher::ledger::RolloutFile& file) {
+      return apply_staged_file(file);
+    };
     ledger_ =
         std::make_unique<violetusher::ledger::Service>(base, model, name_, std::move(handler));
     router_.use(*ledger_);
@@ -177,54 +181,54 @@
 
   /// Where the operator file asks for it: what is done here is kept on disk, with what it was done
   /// on.
-  void keep_trail(event_base* base, const violetusher::core::config::Model& model) {
+  void start_audit_trail(event_base* base, const violetusher::core::config::Model& model) {
     if (model.audits.empty()) return;
 #ifdef VIOLETUSHER_LEDGER
     std::signal(SIGXFSZ, SIG_IGN);
-    read_settings();
-    read_operator_file();
+    update_settings_digest();
+    update_operator_digest();
     const violetusher::core::config::Audit& audit = model.audits.begin()->second;
-    to_router_ = std::make_unique<LoopTaskQueue>(base);
+    router_tasks_ = std::make_unique<LoopTaskQueue>(base);
     trail_ = std::make_unique<violetusher::audit::TrailFiles>(
         violetusher::audit::TrailSettings{audit.folder, name_, audit.size, audit.keep},
         [this](const std::string& text) {
-          to_router_->post([this, text] {
+          router_tasks_->post([this, text] {
             io_.update_time();
-            say(Log::Level::kWarn, "audit-trail", "audit: " + text);
+            log_event(Log::Level::kWarn, "audit-trail", "audit: " + text);
           });
         });
-    auto acts_on = [this] {
+    auto serving_versions = [this] {
       auto all = versions();
       all["operator"] = operator_digest_;
       return all;
     };
-    account_ = std::make_unique<violetusher::core::audit::ActivityRecorder>(
-        acts_on, [this](std::string body) {
-          if (trail_->consume_gap()) account_->write_full_view();
+    activity_recorder_ = std::make_unique<violetusher::core::audit::ActivityRecorder>(
+        serving_versions, [this](std::string body) {
+          if (trail_->consume_gap()) activity_recorder_->write_full_view();
           trail_->write(std::move(body));
         });
-    router_.attach_activity_recorder(*account_, audit.every);
+    router_.attach_activity_recorder(*activity_recorder_, audit.every);
 #else
     (void)base;
     throw ConfigError(operator_file_ + ": 'audit': this program was built without it");
 #endif
   }
 
-  void say(Log::Level level, std::string_view event, const std::string& text) {
+  void log_event(Log::Level level, std::string_view event, const std::string& text) {
     log_.write(io_.now(), level, event, text, {{"router", std::string_view(name_)}});
   }
 
-  void record(const violetusher::core::config::Recorder& recorder) {
+  void start_recorder(const violetusher::core::config::Recorder& recorder) {
     flight_ = std::make_unique<FlightFile>(recorder.file, static_cast<std::size_t>(recorder.size),
                                            name_, io_.now());
     router_.record(&flight_->ring(), [this](const char* what) {
       if (flight_->copy(what, io_.now(), false))
-        say(Log::Level::kWarn, "recorder-alert",
-            std::string("recorder: ") + what + ": a copy was put beside the recording");
+        log_event(Log::Level::kWarn, "recorder-alert",
+                  std::string("recorder: ") + what + ": a copy was put beside the recording");
     });
   }
 
-  void use(violetusher::core::config::Model model) {
+  void apply_model(violetusher::core::config::Model model) {
     violetusher::core::config::Log log;
     if (!model.logs.empty()) log = model.logs.begin()->second;
     using violetusher::core::log::Format;
@@ -241,24 +245,25 @@
   /// Never ends the router: what goes wrong is logged, and all goes on as before. Files that can't
   /// be read are read again until they can: what they name may bind already.
   void reload() {
-    reload_pause_ = 0;
-    read_again();
+    reload_retry_delay_ = 0;
+    try_reload();
   }
 
-  void read_again() {
-    Reload result = take_over();
-    bool broken = violetusher::core::mutant(violetusher::core::Mutant::kReloadNotRetried);
-    if (result == Reload::kUnreadable && !broken) {
-      reload_pause_ = std::clamp(2 * reload_pause_, kFirstReloadPause, kLongestReloadPause);
-      reload_alarm_->set(reload_pause_);
+  void try_reload() {
+    ReloadResult result = apply_files();
+    bool mutant = violetusher::core::mutant(violetusher::core::Mutant::kReloadNotRetried);
+    if (result == ReloadResult::kUnreadable && !mutant) {
+      reload_retry_delay_ =
+          std::clamp(2 * reload_retry_delay_, kMinReloadRetryDelay, kMaxReloadRetryDelay);
+      reload_alarm_->set(reload_retry_delay_);
       return;
     }
     reload_alarm_->clear();
-    reload_pause_ = 0;
-    router_.record_reload(result == Reload::kTaken);
+    reload_retry_delay_ = 0;
+    router_.record_reload(result == ReloadResult::kApplied);
 #ifdef VIOLETUSHER_LEDGER
     if (ledger_) ledger_->reread_rollout_files();
-    act_on_files();
+    on_files_applied();
 #endif
   }
 
@@ -275,21 +280,21 @@
   }
 
   /// The files have been read again, and are in use.
-  void act_on_files() {
-    read_settings();
-    read_operator_file();
+  void on_files_applied() {
+    update_settings_digest();
+    update_operator_digest();
     router_.record_serving_change();
   }
 
   /// The text itself; what it includes is not looked at.
-  void read_operator_file() {
+  void update_operator_digest() {
     std::string text;
     if (read_regular_file(operator_file_, text).empty())
       operator_digest_ = violetusher::core::ledger::label(text);
   }
 
   /// Of the file that the settings were taken from; for the audit of the fleet.
-  void read_settings() {
+  void update_settings_digest() {
     const char* path = std::getenv("NODE_CONFIG");
     std::string text;
     if (!path || !read_regular_file(path, text).empty()) return;
@@ -303,7 +308,7 @@
 
   /// What is staged beside a file is read as if it were in its place; only what this router can act
   /// on gets there. Why it can't; empty where it now does.
-  std::string try_on(violetusher::ledger::RolloutFile& file) {
+  std::string apply_staged_file(violetusher::ledger::RolloutFile& file) {
     io_.update_time();
     try {
       namespace fs = std::filesystem;
@@ -319,58 +324,63 @@
       return e.what();
     }
     if (!file.swap()) return file.path() + ": " + std::strerror(errno);
-    bool taken = take_over() == Reload::kTaken;
-    router_.record_reload(taken);
-    if (!taken) file.undo();
-    if (taken) act_on_files();
-    return taken ? "" : "the router did not take it over; its log says why";
+    bool applied = apply_files() == ReloadResult::kApplied;
+    router_.record_reload(applied);
+    if (!applied) file.undo();
+    if (applied) on_files_applied();
+    return applied ? "" : "the router did not take it over; its log says why";
   }
 #endif
 
-  enum class Reload { kTaken, kRefused, kUnreadable };
+  enum class ReloadResult { kApplied, kRejected, kUnreadable };
 
-  Reload take_over() {
+  ReloadResult apply_files() {
     try {
       Config config = reload_config(router_.config());
       // Both are read before either is used: a bad one changes nothing.
-      if (operator_file_.empty()) return router_.reload(config) ? Reload::kTaken : Reload::kRefused;
+      if (operator_file_.empty())
+        return router_.reload(config) ? ReloadResult::kApplied : ReloadResult::kRejected;
       auto model = load_operator_file(operator_file_, &config);
       if (model.ledgers != model_.ledgers || model.peers != model_.peers ||
           model.rollouts != model_.rollouts)
-        say(Log::Level::kWarn, "reload-needs-restart", "reload: ledger differs: needs a restart");
+        log_event(Log::Level::kWarn, "reload-needs-restart",
+                  "reload: ledger differs: needs a restart");
       if (model.audits != model_.audits)
-        say(Log::Level::kWarn, "reload-needs-restart", "reload: audit differs: needs a restart");
-      if (model.recorders != recorders_)
-        say(Log::Level::kWarn, "reload-needs-restart", "reload: recorder differs: needs a restart");
+        log_event(Log::Level::kWarn, "reload-needs-restart",
+                  "reload: audit differs: needs a restart");
+      if (model.recorders != initial_recorders_)
+        log_event(Log::Level::kWarn, "reload-needs-restart",
+                  "reload: recorder differs: needs a restart");
       router_.update_listeners(model);
       if (!router_.reload(config)) {
         router_.update_listeners(model_);
-        return Reload::kRefused;
+        return ReloadResult::kRejected;
       }
-      use(std::move(model));
-      return Reload::kTaken;
+      apply_model(std::move(model));
+      return ReloadResult::kApplied;
     } catch (const UnreadableError& e) {
-      if (reload_pause_ == 0)
-        say(Log::Level::kError, "reload-unreadable",
-            std::string("reload: ") + e.what() +
-                "; the old configuration is kept, and it is tried again");
-      return Reload::kUnreadable;
+      if (reload_retry_delay_ == 0)
+        log_event(Log::Level::kError, "reload-unreadable",
+                  std::string("reload: ") + e.what() +
+                      "; the old configuration is kept, and it is tried again");
+      return ReloadResult::kUnreadable;
     } catch (const std::exception& e) {
-      say(Log::Level::kError, "reload-refused",
-          std::string("reload: ") + e.what() + "; the old configuration is kept");
-      return Reload::kRefused;
+      log_event(Log::Level::kError, "reload-refused",
+                std::string("reload: ") + e.what() + "; the old configuration is kept");
+      return ReloadResult::kRejected;
     }
   }
 
-  void copy() {
+  void copy_recording() {
     if (!flight_) {
-      say(Log::Level::kWarn, "recorder-off",
-          "SIGUSR2: nothing is recorded; see 'recorder' in the operator file");
+      log_event(Log::Level::kWarn, "recorder-off",
+                "SIGUSR2: nothing is recorded; see 'recorder' in the operator file");
     } else if (flight_->copy("asked", io_.now(), true)) {
-      say(Log::Level::kInfo, "recorder-copied", "recorder: a copy was put beside the recording");
+      log_event(Log::Level::kInfo, "recorder-copied",
+                "recorder: a copy was put beside the recording");
     } else {
-      say(Log::Level::kError, "recorder-copy-failed",
-          "recorder: the recording could not be copied");
+      log_event(Log::Level::kError, "recorder-copy-failed",
+                "recorder: the recording could not be copied");
     }
   }
 
@@ -378,13 +388,13 @@
   DescriptorSink sink_;
   Log log_;
   std::string name_, operator_file_;
-  std::map<std::string, violetusher::core::config::Recorder> recorders_;  // as at the start
-  violetusher::core::config::Model model_;                                // in use
+  std::map<std::string, violetusher::core::config::Recorder> initial_recorders_;  // as at the start
+  violetusher::core::config::Model model_;                                        // in use
   std::unique_ptr<FlightFile> flight_;
 #ifdef VIOLETUSHER_LEDGER
-  std::unique_ptr<LoopTaskQueue> to_router_;
+  std::unique_ptr<LoopTaskQueue> router_tasks_;
   std::unique_ptr<violetusher::audit::TrailFiles> trail_;
-  std::unique_ptr<violetusher::core::audit::ActivityRecorder> account_;
+  std::unique_ptr<violetusher::core::audit::ActivityRecorder> activity_recorder_;
 #endif
   Router router_;
 #ifdef VIOLETUSHER_LEDGER
@@ -392,7 +402,7 @@
   std::string settings_digest_, operator_digest_;
 #endif
   std::unique_ptr<Alarm> reload_alarm_;
-  Micros reload_pause_ = 0;  // 0: no reload waits for files that can be read
+  Micros reload_retry_delay_ = 0;  // 0: no reload waits for files that can be read
 };
 
 }  // namespace
@@ -408,19 +418,19 @@
     try {
       app.parse(argc, argv);
     } catch (const CLI::ParseError& e) {
-      return app.exit(e) == 0 ? 0 : kWrongInput;
+      return app.exit(e) == 0 ? 0 : kExitInvalidInput;
     }
   }
   if (only_check) return check(operator_file);
   std::signal(SIGPIPE, SIG_IGN);
   // Of USR1 no meaning is known here, and there is nothing to copy before the start.
   for (int one : {SIGUSR1, SIGUSR2}) std::signal(one, SIG_IGN);
-  violetusher::keep_signal(SIGHUP);  // from before the files are read first
+  violetusher::capture_signal(SIGHUP);  // from before the files are read first
   try {
     Config config;
-    read_until_done([&] { config = load_config(); });
+    retry_while_unreadable([&] { config = load_config(); });
     if (!parse_address(config.discovery))
-      return complain("discovery: no address: '" + config.discovery + "'");
+      return fail("discovery: no address: '" + config.discovery + "'");
     std::unique_ptr<event_config, void (*)(event_config*)> options(event_config_new(),
                                                                    event_config_free);
     event_config_set_flag(options.get(), EVENT_BASE_FLAG_PRECISE_TIMER);
@@ -429,11 +439,11 @@
       base.reset(event_base_new_with_config(options.get()));
       return base != nullptr;
     };
-    if (!try_until(kReadPatience, make_base)) return complain("no event base");
+    if (!retry_until(kReadRetryTimeout, make_base)) return fail("no event base");
     std::optional<Daemon> daemon;
-    read_until_done([&] { daemon.emplace(base.get(), config, operator_file); });
+    retry_while_unreadable([&] { daemon.emplace(base.get(), config, operator_file); });
     return daemon->run(config.listen);
   } catch (const std::exception& e) {
-    return complain(e.what());
+    return fail(e.what());
   }
 }
--- a/src/daemon/signals.cpp
+++ b/src/daemon/signals.cpp
@@ -6,14 +6,14 @@
 namespace violetusher {
 namespace {
 
-constexpr int kSignals = 65;
-std::array<volatile std::sig_atomic_t, kSignals> come;
+constexpr int kSignalCount = 65;
+std::array<volatile std::sig_atomic_t, kSignalCount> pending;
 
-void on_signal(int number) { come[static_cast<std::size_t>(number)] = 1; }
+void on_signal(int number) { pending[static_cast<std::size_t>(number)] = 1; }
 
 }  // namespace
 
-void keep_signal(int number) {
+void capture_signal(int number) {
   struct sigaction action {};
   action.sa_handler = on_signal;
   action.sa_flags = SA_RESTART;
@@ -21,8 +21,8 @@
   ::sigaction(number, &action, nullptr);
 }
 
-bool take_signal(int number) {
-  auto& flag = come[static_cast<std::size_t>(number)];
+bool consume_signal(int number) {
+  auto& flag = pending[static_cast<std::size_t>(number)];
   if (!flag) return false;
   flag = 0;
   return true;
--- a/src/daemon/signals.hpp
+++ b/src/daemon/signals.hpp
@@ -5,8 +5,8 @@
 namespace violetusher {
 
 /// From now on the signal is kept until it is taken.
-void keep_signal(int number);
+void capture_signal(int number);
 /// Whether the signal has come since it was last taken.
-bool take_signal(int number);
+bool consume_signal(int number);
 
 }  // namespace violetusher
--- a/src/net/ban_log.cpp
+++ b/src/net/ban_log.cpp
@@ -12,10 +12,10 @@
 
 constexpr char kCompactLine[] = "COMPACT";
 // Read at once: more than the largest file that is written here.
-constexpr std::size_t kMostRead = 2u << 20;
+constexpr std::size_t kMaxReadBytes = 2u << 20;
 
 std::string text_of(const BanLine& line) {
-  return (line.out ? "OFFLINE " : "ONLINE ") + line.id + "\n";
+  return (line.banned ? "OFFLINE " : "ONLINE ") + line.id + "\n";
 }
 
 std::optional<BanLine> parse_line(std::string_view text) {
@@ -26,16 +26,16 @@
 }
 
 /// False where another file has taken the name since this one was opened.
-CallStatus still_at(const File& file, const std::string& path, bool& still) {
-  struct stat mine {
-  }, there{};
-  CallStatus status = file.info(mine);
+CallStatus is_current_file(const File& file, const std::string& path, bool& is_current) {
+  struct stat opened {
+  }, current{};
+  CallStatus status = file.info(opened);
   if (!status.done()) return status;
-  if (::stat(path.c_str(), &there) != 0) {
-    still = false;
+  if (::stat(path.c_str(), &current) != 0) {
+    is_current = false;
     return errno == ENOENT ? CallStatus() : CallStatus::failed();
   }
-  still = mine.st_ino == there.st_ino && mine.st_dev == there.st_dev;
+  is_current = opened.st_ino == current.st_ino && opened.st_dev == current.st_dev;
   return {};
 }
 
@@ -43,9 +43,9 @@
 CallStatus open_locked(const std::string& path, File& file) {
   CallStatus status = File::open(path, O_RDWR | O_APPEND | O_CREAT, file);
   if (status.done()) status = file.lock();
-  bool still = false;
-  if (status.done()) status = still_at(file, path, still);
-  if (status.done() && !still) return CallStatus::failed(EAGAIN);
+  bool is_current = false;
+  if (status.done()) status = is_current_file(file, path, is_current);
+  if (status.done() && !is_current) return CallStatus::failed(EAGAIN);
   return status;
 }
 
@@ -66,36 +66,36 @@
   return {};
 }
 
-CallStatus read_all(const File& file, std::set<std::string>& out) {
-  std::string text(kMostRead, '\0');
-  std::size_t have = 0;
+CallStatus read_all(const File& file, std::set<std::string>& banned) {
+  std::string text(kMaxReadBytes, '\0');
+  std::size_t kept = 0;
   for (std::int64_t at = 0;;) {
     std::size_t got = 0;
-    CallStatus status = file.read_at(at, text.data() + have, kMostRead - have, got);
+    CallStatus status = file.read_at(at, text.data() + kept, kMaxReadBytes - kept, got);
     if (!status.done()) return status;
-    std::string_view rest(text.data(), have + got);
+    std::string_view rest(text.data(), kept + got);
     for (std::size_t end; (end = rest.find('\n')) != rest.npos; rest.remove_prefix(end + 1)) {
       auto line = parse_line(rest.substr(0, end));
       if (!line) continue;
-      if (!line->out)
-        out.erase(line->id);
-      else if (out.size() < kMostBans)
-        out.insert(line->id);
+      if (!line->banned)
+        banned.erase(line->id);
+      else if (banned.size() < kMaxBans)
+        banned.insert(line->id);
     }
     if (got == 0) return {};
     at += static_cast<std::int64_t>(got);
     // Of a line that fills the buffer the rest is dropped with it.
-    have = rest.size() > core::ops::kMaxCommandBytes ? 0 : rest.size();
-    std::copy(rest.end() - static_cast<std::ptrdiff_t>(have), rest.end(), text.begin());
+    kept = rest.size() > core::ops::kMaxCommandBytes ? 0 : rest.size();
+    std::copy(rest.end() - static_cast<std::ptrdiff_t>(kept), rest.end(), text.begin());
   }
 }
 
 /// Writes what is out into a new file. Where that fails the old one has it all.
 void compact(const std::string& path, const File& locked) {
-  std::set<std::string> out;
-  if (!read_all(locked, out).done()) return;
+  std::set<std::string> banned;
+  if (!read_all(locked, banned).done()) return;
   std::string text = std::string(kCompactLine) + "\n";
-  for (const std::string& id : out) text += text_of({id, true});
+  for (const std::string& id : banned) text += text_of({id, true});
   replace_file(path, text);
 }
 
@@ -122,59 +122,59 @@
   if (status.done() && sync) status = file.sync_data();
   // What a failure leaves behind is either whole, and written again, or torn, and cut off.
   if (!status.done()) return status;
-  if (static_cast<std::size_t>(end) >= kCompactBansAt) compact(path, file);
+  if (static_cast<std::size_t>(end) >= kCompactionThresholdBytes) compact(path, file);
   return {};
 }
 
-void BanLogReader::take(std::string_view bytes) {
+void BanLogReader::parse(std::string_view bytes) {
   while (!bytes.empty()) {
     std::size_t end = bytes.find('\n');
     if (end == bytes.npos) {
       // Without its end yet; past the bound it is skipped as it comes.
       if (bytes.size() <= core::ops::kMaxCommandBytes && !too_long_) return;
       too_long_ = true;
-      at_ += static_cast<std::int64_t>(bytes.size());
+      offset_ += static_cast<std::int64_t>(bytes.size());
       return;
     }
     std::string_view text = bytes.substr(0, end);
-    if (at_ == 0 && text == kCompactLine) compacted_ = true;
+    if (offset_ == 0 && text == kCompactLine) compacted_ = true;
     if (auto line = parse_line(text); line && !too_long_) lines_.push_back(std::move(*line));
     too_long_ = false;
-    at_ += static_cast<std::int64_t>(end) + 1;
+    offset_ += static_cast<std::int64_t>(end) + 1;
     bytes.remove_prefix(end + 1);
   }
 }
 
-CallStatus BanLogReader::poll(News& news) {
-  news = News::kNone;
+CallStatus BanLogReader::poll(Update& update) {
+  update = Update::kNone;
   lines_.clear();
   File file;
   CallStatus status = File::open(path_, O_RDONLY | O_NONBLOCK, file);
   struct stat info {};
   if (status.done()) status = file.info(info);
   if (!status.done()) return status;
-  bool other = info.st_ino != inode_ || info.st_size < at_;
-  std::int64_t from = other ? 0 : at_;
-  if (!other && info.st_size == at_) {
+  bool replaced = info.st_ino != inode_ || info.st_size < offset_;
+  std::int64_t from = replaced ? 0 : offset_;
+  if (!replaced && info.st_size == offset_) {
     at_end_ = true;
     return {};
   }
-  auto left = static_cast<std::size_t>(info.st_size - from);
-  std::string bytes(std::min(left, kMostRead), '\0');
+  auto remaining = static_cast<std::size_t>(info.st_size - from);
+  std::string bytes(std::min(remaining, kMaxReadBytes), '\0');
   std::size_t got = 0;
   status = file.read_at(from, bytes.data(), bytes.size(), got);
   if (!status.done()) return status;
-  if (other) {
+  if (replaced) {
     inode_ = info.st_ino;
-    at_ = 0;
+    offset_ = 0;
     too_long_ = compacted_ = false;
   }
-  at_end_ = got == left;
-  take(std::string_view(bytes.data(), got));
-  if (other)
-    news = compacted_ && at_end_ ? News::kWhole : News::kOther;
+  at_end_ = got == remaining;
+  parse(std::string_view(bytes.data(), got));
+  if (replaced)
+    update = compacted_ && at_end_ ? Update::kCompacted : Update::kReplaced;
   else if (!lines_.empty())
-    news = News::kLines;
+    update = Update::kAppended;
   return {};
 }
 
--- a/src/net/ban_log.hpp
+++ b/src/net/ban_log.hpp
@@ -18,11 +18,11 @@
 
 struct BanLine {
   std::string id;
-  bool out = false;
+  bool banned = false;
 };
 
-inline constexpr std::size_t kCompactBansAt = 64u << 10;  ///< bytes
-inline constexpr std::size_t kMostBans = 4096;            ///< servers out at once
+inline constexpr std::size_t kCompactionThresholdBytes = 64u << 10;  ///< bytes
+inline constexpr std::size_t kMaxBans = 4096;                        ///< servers out at once
 
 /// Appends the lines and syncs the file; all of them are durable where it says so. What a kill or a
 /// failed write has torn at the end of the file is cut off first. Where it fails, some of the lines
@@ -36,25 +36,25 @@
  public:
   explicit BanLogReader(std::string path) : path_(std::move(path)) {}
 
-  enum class News {
+  enum class Update {
     kNone,
-    kLines,  ///< lines() came behind what was read before
-    kWhole,  ///< lines() are the whole of another file, which was compacted
-    kOther,  ///< lines() stand in another file, which may lack what was read before
+    kAppended,   ///< lines() came behind what was read before
+    kCompacted,  ///< lines() are the whole of another file, which was compacted
+    kReplaced,   ///< lines() stand in another file, which may lack what was read before
   };
   /// Reads on, a bounded part at once; a failure changes nothing. Where there is no file, ENOENT.
-  CallStatus poll(News& news);
+  CallStatus poll(Update& update);
   const std::vector<BanLine>& lines() const { return lines_; }
   /// Whether the last poll came to the end of the file.
   bool at_end() const { return at_end_; }
 
  private:
-  void take(std::string_view bytes);
+  void parse(std::string_view bytes);
 
   std::string path_;
   std::uint64_t inode_ = 0;
-  std::int64_t at_ = 0;    // behind the last whole line
-  bool too_long_ = false;  // the line at at_ has no end within the bound
+  std::int64_t offset_ = 0;  // behind the last whole line
+  bool too_long_ = false;    // the line at offset_ has no end within the bound
   bool at_end_ = false, compacted_ = false;
   std::vector<BanLine> lines_;
 };
--- a/src/net/ban_store.hpp
+++ b/src/net/ban_store.hpp
@@ -18,53 +18,53 @@
 
 class BanStore {
  public:
-  using Number = std::uint64_t;
+  using Sequence = std::uint64_t;
 
   /// The file at `path`; an empty path keeps nothing, and all is known and durable at once.
   explicit BanStore(std::string path);
 
   /// From now on the server is out, or back; advance() writes it. The number of the promise.
-  Number promise(const std::string& id, bool out);
+  Sequence set_banned(const std::string& id, bool banned);
   /// Whether the promise outlives a kill.
-  bool durable(Number number) const {
-    return number <= durable_to_ || core::mutant(core::Mutant::kAcknowledgeBeforeDurable);
+  bool is_durable(Sequence sequence) const {
+    return sequence <= durable_sequence_ || core::mutant(core::Mutant::kAcknowledgeBeforeDurable);
   }
   /// Reads and writes what is due. True where it changed what is out.
   bool advance(Micros now);
   /// When to advance again.
-  Micros next(Micros now) const;
+  Micros next_advance_at(Micros now) const;
 
-  const std::set<std::string>& out() const { return out_; }
+  const std::set<std::string>& banned() const { return banned_; }
   /// Whether the file has been read to its end since the start, or never can be.
-  bool known() const { return known_; }
+  bool loaded() const { return loaded_; }
   /// Why the file can't be read or written now; empty where it can.
-  const std::string& trouble() const { return trouble_; }
+  const std::string& error() const { return error_; }
 
  private:
-  struct Promise {
-    Number number;
+  struct PendingUpdate {
+    Sequence sequence;
     BanLine line;
   };
 
   void read();
-  void take(const BanLine& line);
-  void promise_again(const std::vector<BanLine>& told);
-  void begin_write(Micros now);
-  void end_write(Micros now);
-  void show();
+  void apply(const BanLine& line);
+  void requeue_missing(const std::vector<BanLine>& replacement);
+  void start_write(Micros now);
+  void finish_write(Micros now);
+  void recompute_banned();
 
   std::string path_;
   BanLogReader reader_;
-  std::set<std::string> in_file_, out_;
-  std::deque<Promise> pending_;    // not durable yet, in their order
-  std::vector<BanLine> written_;   // durable, and not read back yet
-  std::future<CallStatus> write_;  // under way, of the first `writing_` of pending_
-  std::size_t writing_ = 0;
-  Number last_ = 0, durable_to_ = 0;
-  Micros write_at_ = 0, pause_ = 0;
-  bool known_ = false;
+  std::set<std::string> in_file_, banned_;
+  std::deque<PendingUpdate> pending_;  // not durable yet, in their order
+  std::vector<BanLine> unconfirmed_;   // durable, and not read back yet
+  std::future<CallStatus> write_;      // under way, of the first `writing_count_` of pending_
+  std::size_t writing_count_ = 0;
+  Sequence last_sequence_ = 0, durable_sequence_ = 0;
+  Micros next_write_at_ = 0, retry_delay_ = 0;
+  bool loaded_ = false;
   bool readable_ = true;
-  std::string trouble_, read_trouble_, write_trouble_;
+  std::string error_, read_error_, write_error_;
 };
 
 }  // namespace violetusher::net
--- a/src/net/call_result.cpp
+++ b/src/net/call_result.cpp
@@ -4,7 +4,7 @@
 
 namespace violetusher::net {
 
-CallResult result_of(int error) {
+CallResult classify_error(int error) {
   switch (error) {
     case 0:
       return CallResult::kDone;
@@ -29,7 +29,7 @@
   }
 }
 
-CallResult connection_result_of(int error) {
+CallResult classify_connection_error(int error) {
   switch (error) {
     case EADDRNOTAVAIL:
     case EIO:
@@ -37,11 +37,11 @@
     case ENETUNREACH:
       return CallResult::kPermanentError;
     default:
-      return result_of(error);
+      return classify_error(error);
   }
 }
 
-bool concerns_one_connection(int error) {
+bool affects_one_connection(int error) {
   switch (error) {
     case ECONNABORTED:
     case EHOSTDOWN:
--- a/src/net/call_result.hpp
+++ b/src/net/call_result.hpp
@@ -16,14 +16,14 @@
 
 /// Of a file, a listener, or a socket that is not connected yet. EINTR is not asked about:
 /// retry_interrupted() has tried again.
-CallResult result_of(int error);
+CallResult classify_error(int error);
 
 /// Of a connection: here an unreachable network means that it is gone.
-CallResult connection_result_of(int error);
+CallResult classify_connection_error(int error);
 
 /// Whether an error of accept() is about the one connection that it would have returned, so that
 /// the next may be taken at once.
-bool concerns_one_connection(int error);
+bool affects_one_connection(int error);
 
 /// How a call ended, with its errno for messages.
 struct CallStatus {
@@ -32,7 +32,7 @@
 
   /// Of a call that has just failed.
   static CallStatus failed() { return failed(errno); }
-  static CallStatus failed(int error) { return {result_of(error), error}; }
+  static CallStatus failed(int error) { return {classify_error(error), error}; }
   bool done() const { return result == CallResult::kDone; }
   /// Whether trying again may help.
   bool is_transient() const { return !done() && result != CallResult::kPermanentError; }
--- a/src/net/config.cpp
+++ b/src/net/config.cpp
@@ -14,7 +14,7 @@
 
 using Json = nlohmann::json;
 
-constexpr std::size_t kMostConfig = 64u << 20;  // bytes
+constexpr std::size_t kMaxConfigBytes = 64u << 20;  // bytes
 
 std::string scalar_text(const Json& value) {
   return value.is_string() ? value.get<std::string>() : value.dump();
@@ -23,12 +23,15 @@
 /// Writes a JSON tree as the wire's path=value pairs: `A.B`, lists of scalars joined by commas,
 /// lists of objects as `.count`, `.0`, `.1` and onward.
 void flatten(const Json& value, const std::string& path, std::map<std::string, std::string>& to) {
-  auto below = [&](const std::string& name) { return path.empty() ? name : path + '.' + name; };
+  auto joined_path = [&](const std::string& name) {
+    return path.empty() ? name : path + '.' + name;
+  };
   if (value.is_object()) {
-    for (const auto& [name, item] : value.items()) flatten(item, below(name), to);
+    for (const auto& [name, item] : value.items()) flatten(item, joined_path(name), to);
   } else if (value.is_array() && !value.empty() && value.front().is_object()) {
-    to[below("count")] = std::to_string(value.size());
-    for (std::size_t k = 0; k < value.size(); ++k) flatten(value[k], below(std::to_string(k)), to);
+    to[joined_path("count")] = std::to_string(value.size());
+    for (std::size_t k = 0; k < value.size(); ++k)
+      flatten(value[k], joined_path(std::to_string(k)), to);
   } else if (value.is_array()) {
     std::string joined;
     for (const Json& item : value) joined += (joined.empty() ? "" : ",") + scalar_text(item);
@@ -38,13 +41,13 @@
   }
 }
 
-Host host_of(const Json& entry) {
+Host parse_host(const Json& entry) {
   if (!entry.is_object()) throw ConfigError("hosts: an entry is no object");
   auto text = [&](const char* name) {
     auto it = entry.find(name);
     return it != entry.end() && it->is_string() ? it->get<std::string>() : std::string();
   };
-  auto figure = [&](const char* name, double absent) {
+  auto number = [&](const char* name, double absent) {
     auto it = entry.find(name);
     return it != entry.end() && it->is_number() ? it->get<double>() : absent;
   };
@@ -53,7 +56,7 @@
   h.dial = text("dial");
   h.server.zone = text("site");
   h.server.kind = text("class");
-  h.server.cell = static_cast<std::int64_t>(std::clamp(figure("block", -1), -1.0, 1e15));
+  h.server.cell = static_cast<std::int64_t>(std::clamp(number("block", -1), -1.0, 1e15));
   std::string health = text("health");
   if (health == "active")
     h.server.health = violetusher::Health::Ready;
@@ -63,10 +66,10 @@
     h.server.health = violetusher::Health::Removed;
   else
     throw ConfigError("hosts: health '" + health + "'");
-  h.server.weight = figure("share", 1);
+  h.server.weight = number("share", 1);
   // Unix time, and the router's clock has its origin there.
   h.server.up_since =
-      static_cast<violetusher::Micros>(std::clamp(figure("born_ms", 0), 0.0, 1e15)) * 1000;
+      static_cast<violetusher::Micros>(std::clamp(number("born_ms", 0), 0.0, 1e15)) * 1000;
   if (h.server.id.empty()) throw ConfigError("hosts: an entry without host");
   if (h.server.health != violetusher::Health::Removed && h.dial.empty())
     throw ConfigError("hosts: " + h.server.id + " without dial");
@@ -74,8 +77,8 @@
 }
 
 /// Of two entries of one id the one that leaves counts, else the later.
-void add_host(HostList& list, std::map<std::string, std::size_t>& places, Host&& host) {
-  auto [at, fresh] = places.try_emplace(host.server.id, list.hosts.size());
+void add_host(HostList& list, std::map<std::string, std::size_t>& index_by_id, Host&& host) {
+  auto [at, fresh] = index_by_id.try_emplace(host.server.id, list.hosts.size());
   if (fresh) {
     list.hosts.push_back(std::move(host));
     return;
@@ -85,12 +88,12 @@
   if (host.server.health >= first.server.health) first = std::move(host);
 }
 
-void add_entry(HostList& list, std::map<std::string, std::size_t>& places, const Json& entry) {
+void add_entry(HostList& list, std::map<std::string, std::size_t>& index_by_id, const Json& entry) {
   try {
-    Host host = host_of(entry);
+    Host host = parse_host(entry);
     if (host.server.health != violetusher::Health::Removed && !parse_address(host.dial))
       throw ConfigError("hosts: " + host.server.id + ": no address: '" + host.dial + "'");
-    add_host(list, places, std::move(host));
+    add_host(list, index_by_id, std::move(host));
   } catch (const ConfigError& e) {
     list.fault = e.what();
     if (!entry.is_object()) return;
@@ -99,7 +102,7 @@
   }
 }
 
-HostList host_list_of(const Json& json) {
+HostList host_list_from_json(const Json& json) {
   if (!json.is_object()) throw ConfigError("a host list that is no object");
   auto seq = json.find("seq"), whole = json.find("whole"), hosts = json.find("hosts");
   if (seq == json.end() || !(seq->is_number() || seq->is_string()))
@@ -109,12 +112,12 @@
   HostList list;
   list.version = scalar_text(*seq);
   list.whole = whole->get<bool>();
-  std::map<std::string, std::size_t> places;
-  for (const Json& entry : *hosts) add_entry(list, places, entry);
+  std::map<std::string, std::size_t> index_by_id;
+  for (const Json& entry : *hosts) add_entry(list, index_by_id, entry);
   return list;
 }
 
-std::uint64_t seed_of(const Json& value) {
+std::uint64_t parse_seed(const Json& value) {
   if (value.is_number_unsigned()) return value.get<std::uint64_t>();
   std::string text = scalar_text(value);
   char* end = nullptr;
@@ -123,7 +126,7 @@
   return seed;
 }
 
-const Json& member(const Json& json, const char* name) {
+const Json& required_member(const Json& json, const char* name) {
   auto it = json.find(name);
   if (it == json.end()) throw ConfigError(std::string(name) + ": missing");
   return *it;
@@ -136,39 +139,39 @@
   return it->get<std::string>();
 }
 
-Config config_of(const Json& json) {
+Config config_from_json(const Json& json) {
   if (!json.is_object()) throw ConfigError("NODE_CONFIG: the file holds no JSON object");
   Config c;
   c.name = text_of(json, "name");
   c.listen = text_of(json, "listen");
   c.discovery = text_of(json, "discovery");
   c.operator_listen = text_of(json, "operator");
-  if (json.contains("seed")) c.seed = seed_of(json["seed"]);
+  if (json.contains("seed")) c.seed = parse_seed(json["seed"]);
   double memory_mb = 192, sockets = 1024;
   if (auto limits = json.find("limits"); limits != json.end()) {
     if (!limits->is_object()) throw ConfigError("limits: no object");
-    auto figure = [&](const char* name, double& value) {
+    auto number = [&](const char* name, double& value) {
       auto it = limits->find(name);
       if (it == limits->end()) return;
       if (!it->is_number() || !(it->get<double>() > 0))
         throw ConfigError("limits." + std::string(name) + ": no number above 0");
       value = it->get<double>();
     };
-    figure("memory_mb", memory_mb);
-    figure("sockets", sockets);
+    number("memory_mb", memory_mb);
+    number("sockets", sockets);
   }
   if (sockets < 64) throw ConfigError("limits.sockets: under 64");
   c.memory_bytes = static_cast<std::size_t>(std::min(memory_mb, 1e6) * 1048576);
   c.sockets = static_cast<std::size_t>(std::min(sockets, 1e6));
   if (auto known = json.find("known"); known != json.end() && !known->is_null()) {
     try {
-      c.initial_hosts = host_list_of(*known);
+      c.initial_hosts = host_list_from_json(*known);
     } catch (const ConfigError& e) {
       throw ConfigError(std::string("known: ") + e.what());
     }
   }
   std::map<std::string, std::string> pairs;
-  const Json& settings = member(json, "settings");
+  const Json& settings = required_member(json, "settings");
   if (!settings.is_object()) throw ConfigError("settings: no object");
   flatten(settings, "", pairs);
   for (const auto& [name, item] : json.items()) c.paths.push_back(name);
@@ -187,7 +190,7 @@
 
 HostList parse_host_list(const std::string& json) {
   try {
-    return host_list_of(Json::parse(json));
+    return host_list_from_json(Json::parse(json));
   } catch (const Json::exception& e) {
     throw ConfigError(e.what());
   }
@@ -195,7 +198,7 @@
 
 Config parse_config(const std::string& json) {
   try {
-    return config_of(Json::parse(json));
+    return config_from_json(Json::parse(json));
   } catch (const Json::exception& e) {
     throw ConfigError(std::string("NODE_CONFIG: ") + e.what());
   }
@@ -203,12 +206,12 @@
 
 namespace {
 
-Config config_from_file(const std::string& instead = {}) {
+Config config_from_file(const std::string& replacement = {}) {
   const char* path = std::getenv("NODE_CONFIG");
   if (!path || !*path) throw ConfigError("NODE_CONFIG: not set");
-  if (!instead.empty()) path = instead.c_str();
+  if (!replacement.empty()) path = replacement.c_str();
   std::string text;
-  CallStatus status = read_whole_file(path, kMostConfig, text);
+  CallStatus status = read_whole_file(path, kMaxConfigBytes, text);
   if (!status.done())
     throw UnreadableError(std::string("NODE_CONFIG: cannot read ") + path + ": " + status.reason(),
                           status.is_transient());
@@ -216,50 +219,50 @@
   return parse_config(text);
 }
 
-const char* variable(const char* name) {
+const char* environment_variable(const char* name) {
   const char* set = std::getenv(name);
   return set && *set ? set : nullptr;
 }
 
-void complete(const Config& c) {
+void validate(const Config& c) {
   if (c.listen.empty()) throw ConfigError("listen: missing");
   if (c.discovery.empty()) throw ConfigError("discovery: missing");
-  if (std::string why = core::ops::settings_error(c.settings); !why.empty())
-    throw ConfigError("settings: " + why);
+  if (std::string error = core::ops::settings_error(c.settings); !error.empty())
+    throw ConfigError("settings: " + error);
 }
 
 }  // namespace
 
 Config load_config() {
   Config c = config_from_file();
-  if (auto set = variable("NODE_NAME")) c.name = set;
-  if (auto set = variable("NODE_LISTEN")) c.listen = set;
-  if (auto set = variable("NODE_DISCOVERY")) c.discovery = set;
-  if (auto set = variable("NODE_OPERATOR")) c.operator_listen = set;
-  if (auto set = variable("TMPDIR")) c.state_directory = set;
-  if (auto set = variable("NODE_ACCEPT_FD")) {
+  if (auto set = environment_variable("NODE_NAME")) c.name = set;
+  if (auto set = environment_variable("NODE_LISTEN")) c.listen = set;
+  if (auto set = environment_variable("NODE_DISCOVERY")) c.discovery = set;
+  if (auto set = environment_variable("NODE_OPERATOR")) c.operator_listen = set;
+  if (auto set = environment_variable("TMPDIR")) c.state_directory = set;
+  if (auto set = environment_variable("NODE_ACCEPT_FD")) {
     char* end = nullptr;
     long fd = std::strtol(set, &end, 10);
     if (*end || fd < 3 || fd > 1'000'000)
       throw ConfigError(std::string("NODE_ACCEPT_FD: '") + set + "' is no descriptor");
     c.accept_fd = static_cast<int>(fd);
   }
-  complete(c);
+  validate(c);
   return c;
 }
 
-Config reload_config(const Config& now, const std::string& file) {
+Config reload_config(const Config& current, const std::string& file) {
   Config c = config_from_file(file);
   auto fill = [](std::string& value, const char* name) {
-    if (auto set = variable(name); set && value.empty()) value = set;
+    if (auto set = environment_variable(name); set && value.empty()) value = set;
   };
   fill(c.name, "NODE_NAME");
   fill(c.listen, "NODE_LISTEN");
   fill(c.discovery, "NODE_DISCOVERY");
   fill(c.operator_listen, "NODE_OPERATOR");
-  if (std::string missing = core::ops::missing_path(now.paths, c.paths); !missing.empty())
+  if (std::string missing = core::ops::missing_path(current.paths, c.paths); !missing.empty())
     throw ConfigError(missing + ": missing");
-  complete(c);
+  validate(c);
   return c;
 }
 
--- a/src/net/config.hpp
+++ b/src/net/config.hpp
@@ -63,7 +63,7 @@
 /// Reads that file again. The environment is as old as the process, so now the file comes first.
 /// Throws UnreadableError, and ConfigError also where the file lacks what `now`'s had, or its
 /// settings can't be used. `file`: to be read instead of the one that is named.
-Config reload_config(const Config& now, const std::string& file = {});
+Config reload_config(const Config& current, const std::string& file = {});
 /// The same from the file's text alone.
 Config parse_config(const std::string& json);
 
--- a/src/net/discovery.cpp
+++ b/src/net/discovery.cpp
@@ -9,12 +9,12 @@
 using core::membership::ListDecision;
 using core::membership::ListResponse;
 
-const char* const kPath = "/discovery/hosts";
+const char* const kHostsPath = "/discovery/hosts";
 // Calls are ended by core::membership; this is for one whose connection hangs all the same.
-constexpr Micros kHttpSlack = 5 * kSecond;
+constexpr Micros kHttpTimeoutMargin = 5 * kSecond;
 // A list that nothing was heard of for so long is told as old: a watch that waits is heard of twice
 // in this time.
-constexpr Micros kOld = 60 * kSecond;
+constexpr Micros kStaleAfter = 60 * kSecond;
 
 /// For a query, as RFC 3986 has it.
 std::string escaped(const std::string& text) {
@@ -34,102 +34,102 @@
 
 }  // namespace
 
-Discovery::Discovery(Io& io, const std::string& address, const std::string& held,
-                     const core::membership::WatchTiming& terms, std::uint64_t seed,
+Discovery::Discovery(Io& io, const std::string& address, const std::string& version,
+                     const core::membership::WatchTiming& timing, std::uint64_t seed,
                      Handler& handler, Log& log)
     : io_(io),
       handler_(handler),
       log_(log),
       address_(address),
-      insists_(terms.always_retries),
-      calls_(*this, terms, held, seed),
+      always_retries_(timing.always_retries),
+      scheduler_(*this, timing, version, seed),
       alarm_(io.alarm([this] {
-        calls_.run_due(io_.now());
-        arm();
+        scheduler_.run_due(io_.now());
+        schedule();
       })) {
-  calls_.set_started(io.now());
+  scheduler_.set_started(io.now());
   for (int k = 0; k < core::membership::WatchScheduler::kPlaces; ++k) {
     auto place = static_cast<Place>(k);
-    gets_[place] = io.http([this, place](auto answer) { answered(place, answer); });
+    requests_[place] = io.http([this, place](auto answer) { on_answer(place, answer); });
   }
 }
 
 void Discovery::start() {
-  if (insists_) watch();
+  if (always_retries_) watch();
 }
 
 void Discovery::watch() {
-  calls_.watch(io_.now());
-  arm();
+  scheduler_.watch(io_.now());
+  schedule();
 }
 
 void Discovery::fetch() {
-  calls_.fetch(io_.now());
-  arm();
+  scheduler_.fetch(io_.now());
+  schedule();
 }
 
 void Discovery::move(const std::string& address) {
   address_ = address;
-  calls_.change_address(io_.now());
-  arm();
+  scheduler_.change_address(io_.now());
+  schedule();
 }
 
-void Discovery::use(const core::membership::WatchTiming& terms) {
-  if (!calls_.set_timing(terms)) return;
-  insists_ = terms.always_retries;
+void Discovery::use(const core::membership::WatchTiming& timing) {
+  if (!scheduler_.set_timing(timing)) return;
+  always_retries_ = timing.always_retries;
   watch();
 }
 
 void Discovery::start(Place place, const std::string& version, Micros wait) {
-  std::string path = kPath;
+  std::string path = kHostsPath;
   if (!version.empty())
     path += "?index=" + escaped(version) + "&wait=" + std::to_string(wait / kMillisecond);
-  gets_[place]->start(address_, path, wait + kHttpSlack);
+  requests_[place]->start(address_, path, wait + kHttpTimeoutMargin);
 }
 
-void Discovery::cancel(Place place) { gets_[place]->stop(); }
+void Discovery::cancel(Place place) { requests_[place]->stop(); }
 
 void Discovery::on_watch_lost() { handler_.on_hosts_failed(); }
 
-void Discovery::arm() {
-  if (age() > kOld && !quiet_) {
-    quiet_ = true;
+void Discovery::schedule() {
+  if (age() > kStaleAfter && !stale_logged_) {
+    stale_logged_ = true;
     std::int64_t old = age() / kSecond;
     log_.write(io_.now(), Log::Level::kWarn, "discovery-quiet",
                "discovery: nothing heard for " + std::to_string(old) +
                    " s; the list is as old, and goes on being used",
                {{"address", std::string_view(address_)}, {"age_s", old}});
   }
-  if (auto next = calls_.next_due())
+  if (auto next = scheduler_.next_due())
     alarm_->set(std::max<Micros>(*next - io_.now(), 0));
   else
     alarm_->clear();
 }
 
 /// Told once, until something else is wrong or all is well.
-void Discovery::fault(const std::string& text) {
-  if (text == fault_) return;
-  fault_ = text;
+void Discovery::log_fault(const std::string& text) {
+  if (text == logged_fault_) return;
+  logged_fault_ = text;
   if (!text.empty())
     log_.write(io_.now(), Log::Level::kWarn, "discovery-bad-list", "discovery: " + text,
                {{"address", std::string_view(address_)}});
 }
 
-std::optional<HostList> Discovery::list_of(const std::optional<HttpGet::Answer>& answer) {
+std::optional<HostList> Discovery::parse_list(const std::optional<HttpGet::Answer>& answer) {
   if (!answer) return std::nullopt;
   try {
     HostList list = parse_host_list(answer->body);
     list.date = answer->date;
-    fault(list.fault);
+    log_fault(list.fault);
     return list;
   } catch (const ConfigError& e) {
-    fault(e.what());
+    log_fault(e.what());
     return std::nullopt;
   }
 }
 
-void Discovery::answered(Place place, const std::optional<HttpGet::Answer>& http) {
-  std::optional<HostList> list = list_of(http);
+void Discovery::on_answer(Place place, const std::optional<HttpGet::Answer>& http) {
+  std::optional<HostList> list = parse_list(http);
   ListResponse answer;
   if (list) {
     answer.list = true;
@@ -137,18 +137,19 @@
     answer.version = list->version;
     answer.whole = list->whole;
   }
-  std::string held = calls_.version();
-  ListDecision take = calls_.on_response(place, io_.now(), answer);
-  if (answer.sound && quiet_) {
-    quiet_ = false;
+  std::string previous_version = scheduler_.version();
+  ListDecision decision = scheduler_.on_response(place, io_.now(), answer);
+  if (answer.sound && stale_logged_) {
+    stale_logged_ = false;
     log_.write(io_.now(), Log::Level::kInfo, "discovery-heard", "discovery: heard again",
                {{"address", std::string_view(address_)}});
   }
-  arm();
-  if (take == ListDecision::kIgnore) return;  // there may be no list
+  schedule();
+  if (decision == ListDecision::kIgnore) return;  // there may be no list
   // Of a watch that insists and is made some times a second, nothing new is nothing to be told.
-  bool news = !insists_ || list->whole || !list->hosts.empty() || list->version != held;
-  if (news) handler_.on_hosts(std::move(*list), take == ListDecision::kApplyUnconfirmed);
+  bool changed =
+      !always_retries_ || list->whole || !list->hosts.empty() || list->version != previous_version;
+  if (changed) handler_.on_hosts(std::move(*list), decision == ListDecision::kApplyUnconfirmed);
 }
 
 }  // namespace violetusher::net
--- a/src/net/discovery.hpp
+++ b/src/net/discovery.hpp
@@ -20,15 +20,15 @@
    public:
     virtual ~Handler() = default;
     /// `doubted`: discovery may know less than what is held; see HostRegistry::take().
-    virtual void on_hosts(HostList&& list, bool doubted) = 0;
+    virtual void on_hosts(HostList&& list, bool unconfirmed) = 0;
     /// No watch is under way and none will be before watch().
     virtual void on_hosts_failed() = 0;
   };
   /// `held`: the version of the list that the router starts with. Terms that insist watch from the
   /// start, and begin again after failures without being asked to. Nothing is called back before
   /// start().
-  Discovery(Io& io, const std::string& address, const std::string& held,
-            const core::membership::WatchTiming& terms, std::uint64_t seed, Handler& handler,
+  Discovery(Io& io, const std::string& address, const std::string& version,
+            const core::membership::WatchTiming& timing, std::uint64_t seed, Handler& handler,
             Log& log);
   void start();
   /// Begins a watch, anew where one is under way.
@@ -40,12 +40,12 @@
   void move(const std::string& address);
 
   /// Calls by other terms from now on; a watch begins anew where they differ.
-  void use(const core::membership::WatchTiming& terms);
+  void use(const core::membership::WatchTiming& timing);
 
   /// How long ago an answer last showed what the list is, or since the start.
-  Micros age() const { return io_.now() - calls_.last_response_at(); }
+  Micros age() const { return io_.now() - scheduler_.last_response_at(); }
   /// Calls made since the start.
-  std::uint64_t calls() const { return calls_.calls_made(); }
+  std::uint64_t calls() const { return scheduler_.calls_made(); }
 
  private:
   using Place = core::membership::WatchScheduler::Place;
@@ -55,20 +55,20 @@
   void cancel(Place place) override;
   void on_watch_lost() override;
 
-  void answered(Place place, const std::optional<HttpGet::Answer>& http);
-  std::optional<HostList> list_of(const std::optional<HttpGet::Answer>& answer);
-  void fault(const std::string& text);
-  void arm();
+  void on_answer(Place place, const std::optional<HttpGet::Answer>& http);
+  std::optional<HostList> parse_list(const std::optional<HttpGet::Answer>& answer);
+  void log_fault(const std::string& text);
+  void schedule();
 
   Io& io_;
   Handler& handler_;
   Log& log_;
   std::string address_;
-  std::string fault_;   // the last one told
-  bool quiet_ = false;  // that nothing was heard for long was told
-  bool insists_;
-  core::membership::WatchScheduler calls_;
-  std::array<std::unique_ptr<HttpGet>, core::membership::WatchScheduler::kPlaces> gets_;
+  std::string logged_fault_;   // the last one told
+  bool stale_logged_ = false;  // that nothing was heard for long was told
+  bool always_retries_;
+  core::membership::WatchScheduler scheduler_;
+  std::array<std::unique_ptr<HttpGet>, core::membership::WatchScheduler::kPlaces> requests_;
   std::unique_ptr<Alarm> alarm_;
 };
 
--- a/src/net/file_io.cpp
+++ b/src/net/file_io.cpp
@@ -9,17 +9,17 @@
 namespace violetusher::net {
 namespace {
 
-constexpr mode_t kMode = 0600;
+constexpr mode_t kFileMode = 0600;
 
 CallStatus status_of(int result) { return result < 0 ? CallStatus::failed() : CallStatus(); }
 
-std::string folder_of(const std::string& path) {
+std::string directory_of(const std::string& path) {
   std::size_t slash = path.rfind('/');
   if (slash == path.npos) return ".";
   return slash == 0 ? "/" : path.substr(0, slash);
 }
 
-CallStatus write_fresh(const std::string& path, std::string_view text) {
+CallStatus write_new_file(const std::string& path, std::string_view text) {
   File file;
   CallStatus status = File::open(path, O_WRONLY | O_CREAT | O_TRUNC, file);
   if (status.done()) status = file.write(text);
@@ -27,10 +27,10 @@
   return status;
 }
 
-CallStatus sync_folder(const std::string& path) {
-  File folder;
-  CallStatus status = File::open(path, O_RDONLY | O_DIRECTORY, folder);
-  return status.done() ? folder.sync() : status;
+CallStatus sync_directory(const std::string& path) {
+  File directory;
+  CallStatus status = File::open(path, O_RDONLY | O_DIRECTORY, directory);
+  return status.done() ? directory.sync() : status;
 }
 
 }  // namespace
@@ -41,7 +41,7 @@
 
 CallStatus File::open(const std::string& path, int flags, File& file) {
   int descriptor =
-      retry_interrupted([&] { return ::open(path.c_str(), flags | O_CLOEXEC, kMode); });
+      retry_interrupted([&] { return ::open(path.c_str(), flags | O_CLOEXEC, kFileMode); });
   if (descriptor < 0) return CallStatus::failed();
   file = File();
   file.descriptor_ = descriptor;
@@ -53,22 +53,23 @@
 CallStatus File::read_at(std::int64_t offset, char* to, std::size_t size, std::size_t& got) const {
   got = 0;
   while (got < size) {
-    ssize_t some = retry_interrupted([&] {
+    ssize_t count = retry_interrupted([&] {
       return ::pread(descriptor_, to + got, size - got,
                      static_cast<off_t>(offset + static_cast<std::int64_t>(got)));
     });
-    if (some < 0) return CallStatus::failed();
-    if (some == 0) break;
-    got += static_cast<std::size_t>(some);
+    if (count < 0) return CallStatus::failed();
+    if (count == 0) break;
+    got += static_cast<std::size_t>(count);
   }
   return {};
 }
 
 CallStatus File::write(std::string_view text) {
   while (!text.empty()) {
-    ssize_t put = retry_interrupted([&] { return ::write(descriptor_, text.data(), text.size()); });
-    if (put < 0) return CallStatus::failed();
-    text.remove_prefix(static_cast<std::size_t>(put));
+    ssize_t written =
+        retry_interrupted([&] { return ::write(descriptor_, text.data(), text.size()); });
+    if (written < 0) return CallStatus::failed();
+    text.remove_prefix(static_cast<std::size_t>(written));
   }
   return {};
 }
@@ -90,7 +91,7 @@
   return status_of(retry_interrupted([&] { return ::flock(descriptor_, LOCK_EX | LOCK_NB); }));
 }
 
-CallStatus read_whole_file(const std::string& path, std::size_t most, std::string& text) {
+CallStatus read_whole_file(const std::string& path, std::size_t max_bytes, std::string& text) {
   text.clear();
   File file;
   // Opened without waiting: a fifo may have nobody at its other end.
@@ -101,7 +102,7 @@
   if (S_ISDIR(info.st_mode)) return CallStatus::failed(EISDIR);
   if (!S_ISREG(info.st_mode)) return CallStatus::failed(EINVAL);
   auto size = static_cast<std::size_t>(info.st_size);
-  if (size > most) return CallStatus::failed(EFBIG);
+  if (size > max_bytes) return CallStatus::failed(EFBIG);
   text.resize(size);
   std::size_t got = 0;
   status = file.read_at(0, text.data(), size, got);
@@ -111,14 +112,14 @@
 }
 
 CallStatus replace_file(const std::string& path, std::string_view text) {
-  std::string fresh = path + "." + std::to_string(::getpid());
-  CallStatus status = write_fresh(fresh, text);
-  if (status.done()) status = status_of(std::rename(fresh.c_str(), path.c_str()));
+  std::string temporary = path + "." + std::to_string(::getpid());
+  CallStatus status = write_new_file(temporary, text);
+  if (status.done()) status = status_of(std::rename(temporary.c_str(), path.c_str()));
   if (!status.done()) {
-    ::unlink(fresh.c_str());
+    ::unlink(temporary.c_str());
     return status;
   }
-  return sync_folder(folder_of(path));
+  return sync_directory(directory_of(path));
 }
 
 }  // namespace violetusher::net
--- a/src/net/file_io.hpp
+++ b/src/net/file_io.hpp
@@ -43,7 +43,7 @@
 
 /// The whole of an ordinary file of at most `most` bytes. Never waits: what is no ordinary file, or
 /// is larger, is broken (EISDIR, EINVAL, EFBIG).
-CallStatus read_whole_file(const std::string& path, std::size_t most, std::string& text);
+CallStatus read_whole_file(const std::string& path, std::size_t max_bytes, std::string& text);
 
 /// Writes a file anew, beside its place, syncs it, and puts it there at once with the folder's
 /// entry synced. What stood there is untouched on failure.
--- a/src/net/flight_file.cpp
+++ b/src/net/flight_file.cpp
@@ -40,21 +40,21 @@
 
 FlightFile::~FlightFile() { ::munmap(memory_, bytes_); }
 
-bool FlightFile::copy(const std::string& reason, Micros now, bool asked) {
-  if (copies_ >= kMostCopies) return false;
-  if (!asked && alerted_at_ && now - alerted_at_ < kBetweenAlerts) return false;
-  if (!asked) alerted_at_ = now;
+bool FlightFile::copy(const std::string& reason, Micros now, bool on_request) {
+  if (copies_ >= kMaxCopies) return false;
+  if (!on_request && last_alert_at_ && now - last_alert_at_ < kMinAlertInterval) return false;
+  if (!on_request) last_alert_at_ = now;
   std::string to = path_ + "." + reason + "-" + std::to_string(++copies_), part = to + ".part";
   Fd fd(::open(part.c_str(), O_WRONLY | O_CREAT | O_TRUNC | O_CLOEXEC | O_NOFOLLOW, 0640));
   if (!fd) return false;
   auto bytes = ring_->memory();
-  std::size_t have = 0;
-  while (have < bytes.size()) {
-    ssize_t put = ::write(fd.get(), bytes.data() + have, bytes.size() - have);
-    if (put <= 0) break;
-    have += static_cast<std::size_t>(put);
+  std::size_t written = 0;
+  while (written < bytes.size()) {
+    ssize_t count = ::write(fd.get(), bytes.data() + written, bytes.size() - written);
+    if (count <= 0) break;
+    written += static_cast<std::size_t>(count);
   }
-  if (have == bytes.size() && ::rename(part.c_str(), to.c_str()) == 0) return true;
+  if (written == bytes.size() && ::rename(part.c_str(), to.c_str()) == 0) return true;
   ::unlink(part.c_str());
   return false;
 }
--- a/src/net/flight_file.hpp
+++ b/src/net/flight_file.hpp
@@ -12,8 +12,8 @@
 
 class FlightFile {
  public:
-  static constexpr int kMostCopies = 16;                ///< of one process
-  static constexpr Micros kBetweenAlerts = 10'000'000;  ///< copies that nobody asked for
+  static constexpr int kMaxCopies = 16;                    ///< of one process
+  static constexpr Micros kMinAlertInterval = 10'000'000;  ///< copies that nobody asked for
 
   /// Makes `path` with a ring of `bytes`; one that is there becomes `path`.before. Throws
   /// ConfigError.
@@ -24,7 +24,7 @@
 
   core::flight::Ring& ring() { return *ring_; }
   /// Copies the ring to `path`.REASON-NUMBER. False where that can't be, or not now.
-  bool copy(const std::string& reason, Micros now, bool asked);
+  bool copy(const std::string& reason, Micros now, bool on_request);
 
  private:
   std::string path_;
@@ -32,7 +32,7 @@
   std::size_t bytes_;
   std::unique_ptr<core::flight::Ring> ring_;
   int copies_ = 0;
-  Micros alerted_at_ = 0;
+  Micros last_alert_at_ = 0;
 };
 
 }  // namespace violetusher::net
--- a/src/net/io.hpp
+++ b/src/net/io.hpp
@@ -67,10 +67,10 @@
   };
   virtual ~Watch() = default;
   /// While on, the target is called as long as there is something to read, an end included.
-  virtual void read(bool on) = 0;
+  virtual void read(bool enabled) = 0;
   /// The target is called once, when the socket can be written; with a `limit` also, and only, when
   /// that has passed first.
-  virtual void write_once(Micros limit = 0) = 0;
+  virtual void write_once(Micros timeout = 0) = 0;
 };
 
 /// Rings once after each set().
@@ -94,7 +94,7 @@
   using Done = std::function<void(std::optional<Answer> answer)>;
   virtual ~HttpGet() = default;
   /// Begins a call; one that is under way is dropped.
-  virtual void start(const std::string& address, const std::string& path, Micros limit) = 0;
+  virtual void start(const std::string& address, const std::string& path, Micros timeout) = 0;
   virtual void stop() = 0;
 };
 
--- a/src/net/log.hpp
+++ b/src/net/log.hpp
@@ -33,7 +33,7 @@
   using Level = core::log::Level;
   using Field = core::log::Field;
   explicit Log(LogSink& sink) : sink_(sink) {}
-  void set(core::log::Format format, Level least) { format_ = format, least_ = least; }
+  void set(core::log::Format format, Level min_level) { format_ = format, min_level_ = min_level; }
 
   /// `event` is one of docs/operators/logs.md; `text` says it for people, and is all of the line
   /// where no operator file asks for more. At most a few lines a second of each event; the number
@@ -44,8 +44,8 @@
  private:
   LogSink& sink_;
   core::log::Format format_ = core::log::Format::kText;
-  Level least_ = Level::kInfo;
-  core::log::EventRateLimiter bound_;
+  Level min_level_ = Level::kInfo;
+  core::log::EventRateLimiter rate_limiter_;
   std::uint64_t lost_ = 0;  // lines that the sink did not take
 };
 
--- a/src/net/operations.cpp
+++ b/src/net/operations.cpp
@@ -9,9 +9,9 @@
 namespace {
 
 // After a failed listen.
-constexpr Micros kListenPause = kSecond / 10;
+constexpr Micros kListenRetryDelay = kSecond / 10;
 // Every call is answered within a second.
-constexpr Micros kYesWithin = 4 * kSecond / 5;
+constexpr Micros kDurabilityTimeout = 4 * kSecond / 5;
 
 /// Of the folder that outlives the process and the router's name, as it is the same after a
 /// restart.
@@ -24,86 +24,89 @@
 
 }  // namespace
 
-Operations::Operations(Io& io, const Config& config, const core::ops::Metrics& figures,
+Operations::Operations(Io& io, const Config& config, const core::ops::Metrics& metrics,
                        Handler& handler, Log& log)
     : io_(io),
       config_(config),
-      figures_(figures),
+      metrics_(metrics),
       handler_(handler),
       log_(log),
       hosts_(config.initial_hosts),
       bans_(ban_path(config)),
-      side_(io, [this](std::string_view line,
-                       OperatorListener::Later later) { return answer(line, std::move(later)); }),
-      look_alarm_(io.alarm([this] { look(); })) {}
+      listener_(io,
+                [this](std::string_view line, OperatorListener::Responder respond) {
+                  return handle_command(line, std::move(respond));
+                }),
+      tick_alarm_(io.alarm([this] { tick(); })) {}
 
 void Operations::start() {
-  if (!config_.operator_listen.empty()) look();
+  if (!config_.operator_listen.empty()) tick();
 }
 
 bool Operations::bans_known() {
-  if (promises_ || config_.operator_listen.empty()) return true;
-  sync();
-  return bans_.known();
+  if (fleet_bans_ || config_.operator_listen.empty()) return true;
+  sync_bans();
+  return bans_.loaded();
 }
 
-void Operations::look() {
-  sync();
-  answer_waiting();
+void Operations::tick() {
+  sync_bans();
+  complete_pending_answers();
   listen();
-  look_alarm_->set(std::max<Micros>(bans_.next(io_.now()) - io_.now(), kMillisecond));
+  tick_alarm_->set(std::max<Micros>(bans_.next_advance_at(io_.now()) - io_.now(), kMillisecond));
 }
 
 void Operations::listen() {
-  if (side_.listening() || io_.now() < listen_at_) return;
+  if (listener_.listening() || io_.now() < next_listen_at_) return;
   auto address = parse_address(config_.operator_listen, true);
   std::string error = "no address";
-  if (address && side_.listen(*address, error)) return;
-  listen_at_ = io_.now() + kListenPause;
+  if (address && listener_.listen(*address, error)) return;
+  next_listen_at_ = io_.now() + kListenRetryDelay;
   log_.write(io_.now(), Log::Level::kError, "operator-listen-failed",
              "operator address " + config_.operator_listen + ": " + error + "; tried again",
              {{"address", std::string_view(config_.operator_listen)}});
 }
 
 /// Makes what is out here what was promised here or by another process of this router.
-void Operations::sync() {
-  if (promises_) return;
-  if (bans_.advance(io_.now())) follow(bans_.out());
-  tell_trouble();
+void Operations::sync_bans() {
+  if (fleet_bans_) return;
+  if (bans_.advance(io_.now())) update_registry(bans_.banned());
+  log_store_error();
 }
 
 /// Told once, until something else is wrong or all is well.
-void Operations::tell_trouble() {
-  if (bans_.trouble() == told_trouble_) return;
-  told_trouble_ = bans_.trouble();
-  if (told_trouble_.empty())
+void Operations::log_store_error() {
+  if (bans_.error() == logged_error_) return;
+  logged_error_ = bans_.error();
+  if (logged_error_.empty())
     log_.write(io_.now(), Log::Level::kInfo, "bans-kept", "operator: the file of bans is good");
   else
     log_.write(io_.now(), Log::Level::kWarn, "ban-not-kept",
-               "operator: " + told_trouble_ + "; what is out stays out, and it is tried again",
-               {{"reason", std::string_view(told_trouble_)}});
+               "operator: " + logged_error_ + "; what is out stays out, and it is tried again",
+               {{"reason", std::string_view(logged_error_)}});
 }
 
-void Operations::answer_waiting() {
+void Operations::complete_pending_answers() {
   Micros now = io_.now();
-  std::vector<Waiting> rest;
-  for (Waiting& one : waiting_) {
-    if (bans_.durable(one.number))
-      one.later("SUCCESS\r\n");
-    else if (now >= one.until)
-      one.later("FAILURE " + one.id + (one.out ? " is out" : " is back") +
-                " now, but that is not written down yet and would not outlive this process\r\n");
+  std::vector<PendingAnswer> remaining;
+  for (PendingAnswer& waiting : pending_answers_) {
+    if (bans_.is_durable(waiting.sequence))
+      waiting.respond("SUCCESS\r\n");
+    else if (now >= waiting.deadline)
+      waiting.respond(
+          "FAILURE " + waiting.id + (waiting.out ? " is out" : " is back") +
+          " now, but that is not written down yet and would not outlive this process\r\n");
     else
-      rest.push_back(std::move(one));
+      remaining.push_back(std::move(waiting));
   }
-  waiting_.swap(rest);
+  pending_answers_.swap(remaining);
 }
 
 void Operations::apply_bans(const std::set<std::string>& out) {
-  if (promises_) follow(out);
+  if (fleet_bans_) update_registry(out);
 }
 
-void Operations::follow(const std::set<std::string>& out) {
+void Operations::update_registry(const std::set<std::string>& out) {
   std::vector<std::string> back;
   for (const std::string& id : hosts_.banned_ids())
     if (!out.count(id)) back.push_back(id);
@@ -112,18 +115,18 @@
     if (!hosts_.is_banned(id)) handler_.on_ban_change(hosts_.set_banned(id, true));
 }
 
-std::optional<std::string> Operations::answer(std::string_view line,
-                                              OperatorListener::Later later) {
+std::optional<std::string> Operations::handle_command(std::string_view line,
+                                                      OperatorListener::Responder respond) {
   using Kind = core::ops::OperatorCommand::Kind;
   std::string error;
   auto call = core::ops::parse_command(line, error);
   if (!call) return "FAILURE " + error + "\r\n";
   bool out = call->kind == Kind::kOffline;
-  if (promises_ && (out || call->kind == Kind::kOnline)) {
+  if (fleet_bans_ && (out || call->kind == Kind::kOnline)) {
     // Put back it may be without being listed here: another router took it out.
     if (out && !hosts_.known(call->id)) return "FAILURE no such cache server\r\n";
-    promises_->set_banned(call->id, out, [later = std::move(later)](std::string why) {
-      later(why.empty() ? "SUCCESS\r\n" : "FAILURE " + why + "\r\n");
+    fleet_bans_->set_banned(call->id, out, [respond = std::move(respond)](std::string failure) {
+      respond(failure.empty() ? "SUCCESS\r\n" : "FAILURE " + failure + "\r\n");
     });
     return std::nullopt;
   }
@@ -131,32 +134,33 @@
     case Kind::kHealth:
       return "SUCCESS\r\n";
     case Kind::kDump:
-      return figures_.json(handler_.current_figures()) + "\r\nEOT\r\n";
+      return metrics_.json(handler_.current_figures()) + "\r\nEOT\r\n";
     case Kind::kOffline:
-      return put(call->id, true, std::move(later));
+      return set_banned(call->id, true, std::move(respond));
     default:
-      return put(call->id, false, std::move(later));
+      return set_banned(call->id, false, std::move(respond));
   }
 }
 
-std::optional<std::string> Operations::put(const std::string& id, bool out,
-                                           OperatorListener::Later later) {
-  sync();
+std::optional<std::string> Operations::set_banned(const std::string& id, bool out,
+                                                  OperatorListener::Responder respond) {
+  sync_bans();
   if (!hosts_.known(id)) return "FAILURE no such cache server\r\n";
-  if (out && !hosts_.is_banned(id) && hosts_.banned_ids().size() >= kMostBans)
+  if (out && !hosts_.is_banned(id) && hosts_.banned_ids().size() >= kMaxBans)
     return "FAILURE too many cache servers are out\r\n";
   // Also where it is so already: an earlier call may not be written down yet.
-  BanStore::Number number = bans_.promise(id, out);
+  BanStore::Sequence sequence = bans_.set_banned(id, out);
   if (hosts_.is_banned(id) != out) {
     log_.write(io_.now(), Log::Level::kInfo, out ? "server-out" : "server-back",
                "operator: " + id + (out ? " taken out" : " put back"),
                {{"server", std::string_view(id)}});
-    follow(bans_.out());
+    update_registry(bans_.banned());
   }
-  if (bans_.durable(number)) return "SUCCESS\r\n";
-  waiting_.push_back({number, io_.now() + kYesWithin, id, out, std::move(later)});
-  sync();
-  look_alarm_->set(kMillisecond);
+  if (bans_.is_durable(sequence)) return "SUCCESS\r\n";
+  pending_answers_.push_back(
+      {sequence, io_.now() + kDurabilityTimeout, id, out, std::move(respond)});
+  sync_bans();
+  tick_alarm_->set(kMillisecond);
   return std::nullopt;
 }
 
--- a/src/net/operations.hpp
+++ b/src/net/operations.hpp
@@ -34,11 +34,11 @@
     /// Takes a server out at every router, or puts it back. `done` hears why not; nothing in `why`
     /// once it holds for good. Within a second, and never from within the call.
     virtual void set_banned(const std::string& id, bool out,
-                            std::function<void(std::string why)> done) = 0;
+                            std::function<void(std::string error)> done) = 0;
   };
 
   /// All that is given outlives it. Does nothing where `config` names no address for operators.
-  Operations(Io& io, const Config& config, const core::ops::Metrics& figures, Handler& handler,
+  Operations(Io& io, const Config& config, const core::ops::Metrics& metrics, Handler& handler,
              Log& log);
 
   /// Takes over the bans that are kept, and listens; where that fails, it is tried again.
@@ -47,45 +47,47 @@
   /// where it is not.
   bool bans_known();
   /// From now on `promises` says which servers are out, through hold(), and no longer the file.
-  void use_fleet_bans(FleetBans& promises) { promises_ = &promises; }
+  void use_fleet_bans(FleetBans& fleet_bans) { fleet_bans_ = &fleet_bans; }
   void apply_bans(const std::set<std::string>& out);
   HostRegistry& hosts() { return hosts_; }
   const HostRegistry& hosts() const { return hosts_; }
   /// 0 while it doesn't listen.
-  std::uint16_t port() const { return side_.listening() ? side_.port() : 0; }
+  std::uint16_t port() const { return listener_.listening() ? listener_.port() : 0; }
 
  private:
-  std::optional<std::string> answer(std::string_view line, OperatorListener::Later later);
+  std::optional<std::string> handle_command(std::string_view line,
+                                            OperatorListener::Responder respond);
   /// An operator who waits until a ban is durable.
-  struct Waiting {
-    BanStore::Number number = 0;
-    Micros until = 0;
+  struct PendingAnswer {
+    BanStore::Sequence sequence = 0;
+    Micros deadline = 0;
     std::string id;
     bool out = false;
-    OperatorListener::Later later;
+    OperatorListener::Responder respond;
   };
 
-  void follow(const std::set<std::string>& out);
-  std::optional<std::string> put(const std::string& id, bool out, OperatorListener::Later later);
-  void sync();
-  void look();
+  void update_registry(const std::set<std::string>& out);
+  std::optional<std::string> set_banned(const std::string& id, bool out,
+                                        OperatorListener::Responder respond);
+  void sync_bans();
+  void tick();
   void listen();
-  void answer_waiting();
-  void tell_trouble();
+  void complete_pending_answers();
+  void log_store_error();
 
   Io& io_;
   const Config& config_;
-  const core::ops::Metrics& figures_;
+  const core::ops::Metrics& metrics_;
   Handler& handler_;
   Log& log_;
   HostRegistry hosts_;
   BanStore bans_;
-  std::vector<Waiting> waiting_;
-  std::string told_trouble_;
-  FleetBans* promises_ = nullptr;
-  OperatorListener side_;
-  std::unique_ptr<Alarm> look_alarm_;
-  Micros listen_at_ = 0;  // not listening: when to try again
+  std::vector<PendingAnswer> pending_answers_;
+  std::string logged_error_;
+  FleetBans* fleet_bans_ = nullptr;
+  OperatorListener listener_;
+  std::unique_ptr<Alarm> tick_alarm_;
+  Micros next_listen_at_ = 0;  // not listening: when to try again
 };
 
 }  // namespace violetusher::net
--- a/src/net/operator_file.cpp
+++ b/src/net/operator_file.cpp
@@ -10,17 +10,17 @@
 namespace fs = std::filesystem;
 namespace config = core::config;
 
-std::string plain(const fs::path& path) { return path.lexically_normal(); }
+std::string normalized(const fs::path& path) { return path.lexically_normal(); }
 
 /// Where to read what is named.
-const std::string& place_of(const std::string& path, const Candidate& candidate) {
-  return !candidate.path.empty() && plain(candidate.path) == path ? candidate.from : path;
+const std::string& source_path(const std::string& path, const StagedFile& staged) {
+  return !staged.path.empty() && normalized(staged.path) == path ? staged.staged_path : path;
 }
 
 }  // namespace
 
 std::string read_regular_file(const std::string& path, std::string& text, CallStatus* status) {
-  CallStatus read = read_whole_file(path, config::kMostBytes, text);
+  CallStatus read = read_whole_file(path, config::kMaxTotalBytes, text);
   if (status) *status = read;
   switch (read.error) {
     case 0:
@@ -37,36 +37,37 @@
 }
 
 core::config::Compiled compile_file(const std::string& path, std::string& error,
-                                    const Candidate& candidate, CallStatus* unread) {
+                                    const StagedFile& staged, CallStatus* read_status) {
   auto read = [&](const std::string& from, std::string& text) {
     CallStatus status;
-    std::string why = read_regular_file(from, text, &status);
-    if (unread && status.is_transient()) *unread = status;
-    return why;
+    std::string error = read_regular_file(from, text, &status);
+    if (read_status && status.is_transient()) *read_status = status;
+    return error;
   };
   auto load = [&](const std::string& from, const std::string& name) {
     config::Loaded loaded;
-    loaded.name =
-        plain(fs::path(name).is_absolute() ? fs::path(name) : fs::path(from).parent_path() / name);
-    loaded.error = read(place_of(loaded.name, candidate), loaded.text);
+    loaded.name = normalized(fs::path(name).is_absolute() ? fs::path(name)
+                                                          : fs::path(from).parent_path() / name);
+    loaded.error = read(source_path(loaded.name, staged), loaded.text);
     return loaded;
   };
   std::string text;
-  error = read(place_of(plain(path), candidate), text);
+  error = read(source_path(normalized(path), staged), text);
   if (!error.empty()) {
     error = path + ": " + error;
     return {};
   }
-  return config::compile(plain(path), text, load);
+  return config::compile(normalized(path), text, load);
 }
 
 core::config::Model load_operator_file(const std::string& path, const Config* settings,
-                                       const Candidate& candidate) {
+                                       const StagedFile& staged) {
   std::string error;
-  CallStatus unread;
-  config::Compiled compiled = compile_file(path, error, candidate, &unread);
-  if (!unread.done())
-    throw UnreadableError(path + ", or what it includes, cannot be read: " + unread.reason(), true);
+  CallStatus read_status;
+  config::Compiled compiled = compile_file(path, error, staged, &read_status);
+  if (!read_status.done())
+    throw UnreadableError(path + ", or what it includes, cannot be read: " + read_status.reason(),
+                          true);
   if (!error.empty()) throw ConfigError(error);
   if (!compiled.diagnostics.none()) {
     std::string all;
@@ -74,8 +75,8 @@
     throw ConfigError(all);
   }
   const config::Model& m = compiled.model;
-  if (m.listeners.size() > kMostListeners)
-    throw ConfigError(path + ": more than " + std::to_string(kMostListeners) + " listeners");
+  if (m.listeners.size() > kMaxListeners)
+    throw ConfigError(path + ": more than " + std::to_string(kMaxListeners) + " listeners");
   if (!settings) return std::move(compiled.model);
   const auto& classes = settings->settings.classes;
   for (const auto& [name, c] : m.classes) {
--- a/src/net/operator_listener.cpp
+++ b/src/net/operator_listener.cpp
@@ -8,20 +8,20 @@
 namespace {
 
 // A line must come within this, and an answer be taken. Callers that say nothing stay for 4 s.
-constexpr Micros kCallTime = 2 * kSecond;
+constexpr Micros kCommandTimeout = 2 * kSecond;
 // After our end the caller's is waited for, so that no reset takes the answer away.
-constexpr Micros kLingerTime = kSecond / 2;
-constexpr Micros kSweep = kSecond / 10;
+constexpr Micros kLingerTimeout = kSecond / 2;
+constexpr Micros kSweepInterval = kSecond / 10;
 
 }  // namespace
 
-class OperatorListener::Caller final : Watch::Target {
+class OperatorListener::Connection final : Watch::Target {
  public:
-  Caller(OperatorListener& side, Socket socket)
-      : side_(side),
+  Connection(OperatorListener& owner, Socket socket)
+      : owner_(owner),
         socket_(std::move(socket)),
-        watch_(side.io_.watch(socket_.number(), *this)),
-        until_(side.io_.now() + kCallTime) {
+        watch_(owner.io_.watch(socket_.number(), *this)),
+        deadline_(owner.io_.now() + kCommandTimeout) {
     watch_->read(true);
   }
 
@@ -30,79 +30,80 @@
     if ((what & Watch::kWritable) && !closed_) write();
   }
 
-  bool overdue(Micros now) const { return closed_ || now > until_; }
+  bool is_expired(Micros now) const { return closed_ || now > deadline_; }
 
  private:
   void read() {
     char bytes[core::ops::kMaxCommandBytes];
-    ssize_t got = side_.io_.recv(socket_.number(), bytes, sizeof bytes);
-    if (got == Io::kAgain) return;
-    if (got < 0 || (got == 0 && answered_)) {
+    ssize_t received = owner_.io_.recv(socket_.number(), bytes, sizeof bytes);
+    if (received == Io::kAgain) return;
+    if (received < 0 || (received == 0 && answered_)) {
       closed_ = true;
       watch_->read(false);
       return;
     }
     if (answered_) return;  // more than one line: dropped
-    line_.append(bytes, static_cast<std::size_t>(got));
+    line_.append(bytes, static_cast<std::size_t>(received));
     std::size_t end = line_.find('\n');
-    if (end == line_.npos && got > 0 && line_.size() < core::ops::kMaxCommandBytes) return;
-    if (got == 0 && line_.empty()) {
+    if (end == line_.npos && received > 0 && line_.size() < core::ops::kMaxCommandBytes) return;
+    if (received == 0 && line_.empty()) {
       closed_ = true;
       watch_->read(false);
       return;
     }
     answered_ = true;
     if (end == line_.npos) {
-      out_ = "FAILURE no whole line\r\n";
+      output_ = "FAILURE no whole line\r\n";
     } else {
       line_.resize(end);
       if (!line_.empty() && line_.back() == '\r') line_.pop_back();
-      auto now = side_.answer_(line_, [weak = std::weak_ptr<Caller*>(self_)](std::string text) {
-        if (auto caller = weak.lock()) (*caller)->say(std::move(text));
-      });
-      if (now) out_ = std::move(*now);
+      auto answer =
+          owner_.handler_(line_, [weak = std::weak_ptr<Connection*>(self_)](std::string text) {
+            if (auto connection = weak.lock()) (*connection)->respond(std::move(text));
+          });
+      if (answer) output_ = std::move(*answer);
     }
-    if (got == 0) watch_->read(false);
-    if (!out_.empty()) write();
+    if (received == 0) watch_->read(false);
+    if (!output_.empty()) write();
   }
 
-  void say(std::string text) {
+  void respond(std::string text) {
     if (closed_) return;
-    out_ = std::move(text);
+    output_ = std::move(text);
     write();
   }
 
   void write() {
-    while (!out_.empty()) {
-      iovec rest{out_.data(), out_.size()};
-      ssize_t put = side_.io_.send(socket_.number(), &rest, 1);
-      if (put == Io::kBroken) {
+    while (!output_.empty()) {
+      iovec rest{output_.data(), output_.size()};
+      ssize_t sent = owner_.io_.send(socket_.number(), &rest, 1);
+      if (sent == Io::kBroken) {
         closed_ = true;
         watch_->read(false);
         return;
       }
-      if (put < 0) {
+      if (sent < 0) {
         watch_->write_once();
         return;
       }
-      out_.erase(0, static_cast<std::size_t>(put));
+      output_.erase(0, static_cast<std::size_t>(sent));
     }
-    side_.io_.shutdown_send(socket_.number());
-    until_ = side_.io_.now() + kLingerTime;
+    owner_.io_.shutdown_send(socket_.number());
+    deadline_ = owner_.io_.now() + kLingerTimeout;
   }
 
-  OperatorListener& side_;
+  OperatorListener& owner_;
   Socket socket_;
   std::unique_ptr<Watch> watch_;
-  std::shared_ptr<Caller*> self_ = std::make_shared<Caller*>(this);
-  std::string line_, out_;
+  std::shared_ptr<Connection*> self_ = std::make_shared<Connection*>(this);
+  std::string line_, output_;
   bool answered_ = false;
   bool closed_ = false;  // freed at the next sweep
-  Micros until_;
+  Micros deadline_;
 };
 
-OperatorListener::OperatorListener(Io& io, Answer answer)
-    : io_(io), answer_(std::move(answer)), sweep_alarm_(io.alarm([this] { sweep(); })) {}
+OperatorListener::OperatorListener(Io& io, CommandHandler answer)
+    : io_(io), handler_(std::move(answer)), sweep_alarm_(io.alarm([this] { sweep(); })) {}
 
 OperatorListener::~OperatorListener() = default;
 
@@ -111,31 +112,31 @@
   if (!listener_) return false;
   accept_watch_ = io_.watch(listener_.number(), *this);
   accept_watch_->read(true);
-  sweep_alarm_->set(kSweep);
+  sweep_alarm_->set(kSweepInterval);
   return true;
 }
 
 void OperatorListener::on_ready(unsigned) {
-  for (int most = 8; most-- > 0;) {
-    if (callers_.size() >= kMaxConnections) callers_.erase(callers_.begin());
+  for (int remaining = 8; remaining-- > 0;) {
+    if (connections_.size() >= kMaxConnections) connections_.erase(connections_.begin());
     Socket socket;
     Io::Accepted accepted = io_.accept(listener_.number(), socket);
-    if (accepted == Io::Accepted::kNoDescriptor && !callers_.empty())
-      callers_.erase(callers_.begin());
+    if (accepted == Io::Accepted::kNoDescriptor && !connections_.empty())
+      connections_.erase(connections_.begin());
     if (accepted == Io::Accepted::kNoDescriptor || accepted == Io::Accepted::kTransientError)
       accept_watch_->read(false);  // the sweep tries again
     if (accepted != Io::Accepted::kOne) return;
-    callers_.push_back(std::make_unique<Caller>(*this, std::move(socket)));
+    connections_.push_back(std::make_unique<Connection>(*this, std::move(socket)));
   }
 }
 
 void OperatorListener::sweep() {
-  sweep_alarm_->set(kSweep);
+  sweep_alarm_->set(kSweepInterval);
   accept_watch_->read(true);
   Micros now = io_.now();
-  callers_.erase(std::remove_if(callers_.begin(), callers_.end(),
-                                [now](const auto& c) { return c->overdue(now); }),
-                 callers_.end());
+  connections_.erase(std::remove_if(connections_.begin(), connections_.end(),
+                                    [now](const auto& c) { return c->is_expired(now); }),
+                     connections_.end());
 }
 
 }  // namespace violetusher::net
--- a/src/net/peer_transport.cpp
+++ b/src/net/peer_transport.cpp
@@ -10,46 +10,47 @@
 namespace violetusher::net {
 namespace {
 
-constexpr Micros kDialTime = kSecond / 2;
-constexpr Micros kDialAgain = kSecond / 10;  // and as much again at random, doubled up to a second
-constexpr Micros kSweep = kSecond / 5;
-constexpr std::size_t kRead = 64u << 10;
-constexpr std::size_t kMostWhileDialling = 256u << 10;
+constexpr Micros kConnectTimeout = kSecond / 2;
+constexpr Micros kMinReconnectDelay =
+    kSecond / 10;  // and as much again at random, doubled up to a second
+constexpr Micros kSweepInterval = kSecond / 5;
+constexpr std::size_t kReadBytes = 64u << 10;
+constexpr std::size_t kMaxBufferedWhileConnectingBytes = 256u << 10;
 
 }  // namespace
 
 /// What both kinds of connection have: bytes that wait to go out.
-class Outgoing {
+class SendBuffer {
  public:
-  bool add(const std::string& bytes, std::size_t most) {
-    if (out_.size() - at_ + bytes.size() > most) return false;
-    out_ += bytes;
+  bool add(const std::string& bytes, std::size_t max_bytes) {
+    if (bytes_.size() - sent_ + bytes.size() > max_bytes) return false;
+    bytes_ += bytes;
     return true;
   }
   /// False where the connection is broken; `more`: something is left.
   bool write(Io& io, int socket, bool& more) {
-    while (at_ < out_.size()) {
-      iovec rest{out_.data() + at_, out_.size() - at_};
-      ssize_t put = io.send(socket, &rest, 1);
-      if (put == Io::kBroken) return false;
-      if (put < 0) break;
-      at_ += static_cast<std::size_t>(put);
+    while (sent_ < bytes_.size()) {
+      iovec rest{bytes_.data() + sent_, bytes_.size() - sent_};
+      ssize_t sent = io.send(socket, &rest, 1);
+      if (sent == Io::kBroken) return false;
+      if (sent < 0) break;
+      sent_ += static_cast<std::size_t>(sent);
     }
-    more = at_ < out_.size();
+    more = sent_ < bytes_.size();
     if (!more) clear();
     return true;
   }
-  void clear() { out_.clear(), out_.shrink_to_fit(), at_ = 0; }
-  bool empty() const { return at_ == out_.size(); }
+  void clear() { bytes_.clear(), bytes_.shrink_to_fit(), sent_ = 0; }
+  bool empty() const { return sent_ == bytes_.size(); }
 
  private:
-  std::string out_;
-  std::size_t at_ = 0;
+  std::string bytes_;
+  std::size_t sent_ = 0;
 };
 
-class PeerTransport::Caller final : Watch::Target {
+class PeerTransport::InboundConnection final : Watch::Target {
  public:
-  Caller(PeerTransport& peers, Socket socket, std::uint64_t link)
+  InboundConnection(PeerTransport& peers, Socket socket, std::uint64_t link)
       : peers_(peers),
         link_(link),
         socket_(std::move(socket)),
@@ -62,7 +63,7 @@
     if ((what & Watch::kWritable) && !closed_) write();
   }
   void reply(const std::string& bytes) {
-    if (closed_ || !out_.add(bytes, kMostWaiting)) return;
+    if (closed_ || !output_.add(bytes, kMaxBufferedBytes)) return;
     write();
   }
   bool closed() const { return closed_; }
@@ -74,20 +75,20 @@
   }
   void read() {
     std::size_t before = in_.size();
-    in_.resize(before + kRead);
-    ssize_t got = peers_.io_.recv(socket_.number(), in_.data() + before, kRead);
-    in_.resize(before + static_cast<std::size_t>(std::max<ssize_t>(got, 0)));
-    if (got == Io::kAgain) return;
-    if (got <= 0) return close();
+    in_.resize(before + kReadBytes);
+    ssize_t received = peers_.io_.recv(socket_.number(), in_.data() + before, kReadBytes);
+    in_.resize(before + static_cast<std::size_t>(std::max<ssize_t>(received, 0)));
+    if (received == Io::kAgain) return;
+    if (received <= 0) return close();
     std::string frame;
-    int taken = 0;
-    while (!closed_ && (taken = decode_frame(in_, frame)) == 1) peers_.frames_(frame, link_);
-    if (taken < 0) close();
+    int result = 0;
+    while (!closed_ && (result = decode_frame(in_, frame)) == 1) peers_.on_frame_(frame, link_);
+    if (result < 0) close();
     if (in_.empty()) in_.shrink_to_fit();
   }
   void write() {
     bool more = false;
-    if (!out_.write(peers_.io_, socket_.number(), more)) return close();
+    if (!output_.write(peers_.io_, socket_.number(), more)) return close();
     if (more) watch_->write_once();
   }
 
@@ -96,67 +97,72 @@
   Socket socket_;
   std::unique_ptr<Watch> watch_;
   std::string in_;
-  Outgoing out_;
+  SendBuffer output_;
   bool closed_ = false;
 };
 
-class PeerTransport::Dialled final : Watch::Target {
+class PeerTransport::OutboundConnection final : Watch::Target {
  public:
-  Dialled(PeerTransport& peers, const sockaddr_in& address) : peers_(peers), address_(address) {}
+  OutboundConnection(PeerTransport& peers, const sockaddr_in& address)
+      : peers_(peers), address_(address) {}
 
   void send(const std::string& bytes) {
-    if (!socket_) dial();
-    if (!socket_ || !out_.add(bytes, up_ ? kMostWaiting : kMostWhileDialling)) return;
-    if (up_ && !waits_) write();
+    if (!socket_) connect();
+    if (!socket_ ||
+        !output_.add(bytes, connected_ ? kMaxBufferedBytes : kMaxBufferedWhileConnectingBytes))
+      return;
+    if (connected_ && !write_pending_) write();
   }
   void on_ready(unsigned what) override {
-    if (!up_ &&
+    if (!connected_ &&
         ((what & Watch::kTimeout) || peers_.io_.connected(socket_.number()) != CallResult::kDone))
-      return drop();
-    if (!up_) {
-      up_ = true;
-      wait_ = kDialAgain;
+      return disconnect();
+    if (!connected_) {
+      connected_ = true;
+      reconnect_delay_ = kMinReconnectDelay;
       watch_->read(true);  // it says nothing; its end is heard
     }
     if ((what & Watch::kReadable) && !(what & Watch::kWritable)) {
       char bytes[512];
-      ssize_t got = peers_.io_.recv(socket_.number(), bytes, sizeof bytes);
-      if (got != Io::kAgain) return drop();
+      ssize_t received = peers_.io_.recv(socket_.number(), bytes, sizeof bytes);
+      if (received != Io::kAgain) return disconnect();
       return;
     }
-    waits_ = false;
+    write_pending_ = false;
     write();
   }
 
  private:
-  void dial() {
+  void connect() {
     Micros now = peers_.io_.now();
-    if (now < again_) return;
+    if (now < next_attempt_at_) return;
     CallResult result = peers_.io_.connect(address_, socket_);
-    again_ = now + wait_ + static_cast<Micros>(peers_.random_() % static_cast<unsigned>(wait_));
-    wait_ = std::min(2 * wait_, kSecond);
+    next_attempt_at_ =
+        now + reconnect_delay_ +
+        static_cast<Micros>(peers_.random_() % static_cast<unsigned>(reconnect_delay_));
+    reconnect_delay_ = std::min(2 * reconnect_delay_, kSecond);
     if (result != CallResult::kDone) return;
     watch_ = peers_.io_.watch(socket_.number(), *this);
-    watch_->write_once(kDialTime);
+    watch_->write_once(kConnectTimeout);
   }
-  void drop() {
+  void disconnect() {
     // Not from within the watch's own call: the socket goes at the next send or sweep.
     watch_->read(false);
-    out_.clear();
-    up_ = waits_ = false;
-    dead_ = true;
+    output_.clear();
+    connected_ = write_pending_ = false;
+    broken_ = true;
   }
   void write() {
     bool more = false;
-    if (!out_.write(peers_.io_, socket_.number(), more)) return drop();
-    waits_ = more;
+    if (!output_.write(peers_.io_, socket_.number(), more)) return disconnect();
+    write_pending_ = more;
     if (more) watch_->write_once();
   }
 
  public:
   void sweep() {
-    if (!dead_) return;
-    dead_ = false;
+    if (!broken_) return;
+    broken_ = false;
     watch_.reset();
     socket_.reset();
   }
@@ -166,21 +172,21 @@
   sockaddr_in address_;
   Socket socket_;
   std::unique_ptr<Watch> watch_;
-  Outgoing out_;
-  Micros again_ = 0, wait_ = kDialAgain;
-  bool up_ = false, waits_ = false, dead_ = false;
+  SendBuffer output_;
+  Micros next_attempt_at_ = 0, reconnect_delay_ = kMinReconnectDelay;
+  bool connected_ = false, write_pending_ = false, broken_ = false;
 };
 
 PeerTransport::PeerTransport(Io& io, const std::map<std::string, std::string>& addresses,
-                             Frames frames, std::function<std::uint64_t()> random)
+                             FrameHandler on_frame, std::function<std::uint64_t()> random)
     : io_(io),
-      frames_(std::move(frames)),
+      on_frame_(std::move(on_frame)),
       random_(std::move(random)),
       sweep_alarm_(io.alarm([this] { sweep(); })) {
   for (const auto& [name, text] : addresses)
     if (auto address = parse_address(text))
-      dialled_[name] = std::make_unique<Dialled>(*this, *address);
-  sweep_alarm_->set(kSweep);
+      outbound_[name] = std::make_unique<OutboundConnection>(*this, *address);
+  sweep_alarm_->set(kSweepInterval);
 }
 
 PeerTransport::~PeerTransport() = default;
@@ -194,37 +200,39 @@
 }
 
 void PeerTransport::on_ready(unsigned) {
-  for (int most = 16; most-- > 0;) {
+  for (int remaining = 16; remaining-- > 0;) {
     Socket socket;
     Io::Accepted accepted = io_.accept(listener_.number(), socket);
     if (accepted == Io::Accepted::kNoDescriptor || accepted == Io::Accepted::kTransientError)
       accept_watch_->read(false);  // the sweep tries again
     if (accepted != Io::Accepted::kOne) return;
-    if (callers_.size() >= kMostCallers) callers_.erase(callers_.begin());
+    if (inbound_.size() >= kMaxInboundConnections) inbound_.erase(inbound_.begin());
     std::uint64_t link = next_link_++;
-    callers_[link] = std::make_unique<Caller>(*this, std::move(socket), link);
+    inbound_[link] = std::make_unique<InboundConnection>(*this, std::move(socket), link);
   }
 }
 
 void PeerTransport::sweep() {
-  sweep_alarm_->set(kSweep);
+  sweep_alarm_->set(kSweepInterval);
   if (accept_watch_) accept_watch_->read(true);
-  std::erase_if(callers_, [](const auto& c) { return c.second->closed(); });
-  for (auto& [name, dialled] : dialled_) dialled->sweep();
+  std::erase_if(inbound_, [](const auto& c) { return c.second->closed(); });
+  for (auto& [name, connection] : outbound_) connection->sweep();
 }
 
 void PeerTransport::send(const std::string& name, const std::string& frame) {
-  auto it = dialled_.find(name);
-  if (it != dialled_.end() && frame.size() <= kMostFrame) it->second->send(encode_frame(frame));
+  auto it = outbound_.find(name);
+  if (it != outbound_.end() && frame.size() <= kMaxFrameBytes)
+    it->second->send(encode_frame(frame));
 }
 
 void PeerTransport::reply(std::uint64_t link, const std::string& frame) {
-  auto it = callers_.find(link);
-  if (it != callers_.end() && frame.size() <= kMostFrame) it->second->reply(encode_frame(frame));
+  auto it = inbound_.find(link);
+  if (it != inbound_.end() && frame.size() <= kMaxFrameBytes)
+    it->second->reply(encode_frame(frame));
 }
 
 std::string PeerTransport::encode_frame(const std::string& frame) {
-  std::string bytes(kHead, '\0');
+  std::string bytes(kHeaderBytes, '\0');
   std::uint64_t sum = XXH3_64bits(frame.data(), frame.size());
   for (std::size_t i = 0; i < 4; ++i) bytes[i] = static_cast<char>(frame.size() >> (8 * i));
   for (std::size_t i = 0; i < 8; ++i) bytes[4 + i] = static_cast<char>(sum >> (8 * i));
@@ -232,18 +240,18 @@
 }
 
 int PeerTransport::decode_frame(std::string& bytes, std::string& frame) {
-  if (bytes.size() < kHead) return 0;
+  if (bytes.size() < kHeaderBytes) return 0;
   auto number = [&](std::size_t from, std::size_t count) {
     std::uint64_t n = 0;
     for (std::size_t i = count; i-- > 0;) n = n << 8 | static_cast<unsigned char>(bytes[from + i]);
     return n;
   };
   std::uint64_t size = number(0, 4);
-  if (size > kMostFrame) return -1;
-  if (bytes.size() < kHead + size) return 0;
-  frame.assign(bytes, kHead, size);
+  if (size > kMaxFrameBytes) return -1;
+  if (bytes.size() < kHeaderBytes + size) return 0;
+  frame.assign(bytes, kHeaderBytes, size);
   if (XXH3_64bits(frame.data(), frame.size()) != number(4, 8)) return -1;
-  bytes.erase(0, kHead + size);
+  bytes.erase(0, kHeaderBytes + size);
   return 1;
 }
 
--- a/src/net/peer_transport.hpp
+++ b/src/net/peer_transport.hpp
@@ -18,17 +18,18 @@
 
 class PeerTransport final : Watch::Target {
  public:
-  static constexpr std::size_t kMostFrame = 8u << 20;     ///< bytes
-  static constexpr std::size_t kMostWaiting = 16u << 20;  ///< bytes that wait for one router
-  static constexpr std::size_t kMostCallers = 1024;  ///< connections that came; the oldest goes
-  static constexpr std::size_t kHead = 12;
+  static constexpr std::size_t kMaxFrameBytes = 8u << 20;      ///< bytes
+  static constexpr std::size_t kMaxBufferedBytes = 16u << 20;  ///< bytes that wait for one router
+  static constexpr std::size_t kMaxInboundConnections =
+      1024;  ///< connections that came; the oldest goes
+  static constexpr std::size_t kHeaderBytes = 12;
 
   /// A frame that has come. `link` names its connection, for reply().
-  using Frames = std::function<void(const std::string& frame, std::uint64_t link)>;
+  using FrameHandler = std::function<void(const std::string& frame, std::uint64_t link)>;
 
   /// `addresses`: where each router listens, by name; those that are none are never reached.
   /// `random`: draws for how long to wait before a router is dialled again.
-  PeerTransport(Io& io, const std::map<std::string, std::string>& addresses, Frames frames,
+  PeerTransport(Io& io, const std::map<std::string, std::string>& addresses, FrameHandler on_frame,
                 std::function<std::uint64_t()> random);
   ~PeerTransport() override;
 
@@ -38,7 +39,7 @@
   void send(const std::string& name, const std::string& frame);
   /// On the connection that a frame has come by; dropped where that is gone.
   void reply(std::uint64_t link, const std::string& frame);
-  std::size_t callers() const { return callers_.size(); }
+  std::size_t inbound_connections() const { return inbound_.size(); }
 
   /// A frame as it goes over a connection.
   static std::string encode_frame(const std::string& frame);
@@ -46,19 +47,20 @@
   static int decode_frame(std::string& bytes, std::string& frame);
 
  private:
-  class Caller;
-  class Dialled;
+  class InboundConnection;
+  class OutboundConnection;
   void on_ready(unsigned) override;
   void sweep();
 
   Io& io_;
-  Frames frames_;
+  FrameHandler on_frame_;
   std::function<std::uint64_t()> random_;
   Socket listener_;
   std::unique_ptr<Watch> accept_watch_;
   std::unique_ptr<Alarm> sweep_alarm_;
-  std::map<std::string, std::unique_ptr<Dialled>> dialled_;
-  std::map<std::uint64_t, std::unique_ptr<Caller>> callers_;  // in the order of their coming
+  std::map<std::string, std::unique_ptr<OutboundConnection>> outbound_;
+  std::map<std::uint64_t, std::unique_ptr<InboundConnection>>
+      inbound_;  // in the order of their coming
   std::uint64_t next_link_ = 1;
 };
 
--- a/src/net/system_io.cpp
+++ b/src/net/system_io.cpp
@@ -15,58 +15,58 @@
 namespace violetusher::net {
 namespace {
 
-constexpr ev_ssize_t kMaxBody = 8 << 20;
-constexpr ev_ssize_t kMaxHeaders = 64 << 10;
+constexpr ev_ssize_t kMaxBodyBytes = 8 << 20;
+constexpr ev_ssize_t kMaxHeaderBytes = 64 << 10;
 // A watch that could not be armed is armed again after this.
-constexpr Micros kArmAgain = 5 * kMillisecond;
+constexpr Micros kRearmDelay = 5 * kMillisecond;
 // A connection is used for a further call within this of its last answer.
-constexpr Micros kReuseWithin = kSecond;
+constexpr Micros kReuseWindow = kSecond;
 // A call that fails so soon on a used connection met the end of that connection.
-constexpr Micros kStaleWithin = kSecond / 10;
+constexpr Micros kStaleConnectionWindow = kSecond / 10;
 // After a call that got no answer on a used connection, each gets one of its own for so long.
-constexpr Micros kNoReuse = 10 * kSecond;
+constexpr Micros kNoReuseDuration = 10 * kSecond;
 
 class SystemWatch final : public Watch {
  public:
   SystemWatch(Io& io, event_base* base, int socket, Target& target) : io_(io), target_(target) {
     // The peer's end comes with the bytes before it, so that it is known of before they are read.
     // Never asked for without EV_READ: a reset would then call nobody, over and over.
-    bool tells = event_base_get_features(base) & EV_FEATURE_EARLY_CLOSE;
-    short what = EV_READ | EV_PERSIST | (tells ? EV_CLOSED : 0);
+    bool reports_close = event_base_get_features(base) & EV_FEATURE_EARLY_CLOSE;
+    short what = EV_READ | EV_PERSIST | (reports_close ? EV_CLOSED : 0);
     read_.reset(event_new(base, socket, what, on_event, this));
     write_.reset(event_new(base, socket, EV_WRITE, on_event, this));
   }
   void read(bool on) override {
-    read_on_ = on;
+    read_enabled_ = on;
     if (on)
       arm_read();
     else
       event_del(read_.get());
   }
-  void write_once(Micros limit) override {
-    write_limit_ = limit;
+  void write_once(Micros timeout) override {
+    write_timeout_ = timeout;
     arm_write();
   }
 
  private:
   void arm_read() {
-    if (event_add(read_.get(), nullptr) != 0) try_again();
+    if (event_add(read_.get(), nullptr) != 0) schedule_retry();
   }
   void arm_write() {
-    timeval wait = timeval_of(write_limit_);
-    write_unarmed_ = event_add(write_.get(), write_limit_ > 0 ? &wait : nullptr) != 0;
-    if (write_unarmed_) try_again();
+    timeval wait = timeval_of(write_timeout_);
+    write_needs_arming_ = event_add(write_.get(), write_timeout_ > 0 ? &wait : nullptr) != 0;
+    if (write_needs_arming_) schedule_retry();
   }
   /// The system did not take the interest; a timer needs nothing of it.
-  void try_again() {
+  void schedule_retry() {
     if (!retry_) retry_.reset(event_new(event_get_base(read_.get()), -1, 0, on_retry, this));
-    timeval wait = timeval_of(kArmAgain);
+    timeval wait = timeval_of(kRearmDelay);
     event_add(retry_.get(), &wait);
   }
   static void on_retry(evutil_socket_t, short, void* self) {
     auto* watch = static_cast<SystemWatch*>(self);
-    if (watch->read_on_) watch->arm_read();
-    if (watch->write_unarmed_) watch->arm_write();
+    if (watch->read_enabled_) watch->arm_read();
+    if (watch->write_needs_arming_) watch->arm_write();
   }
   static void on_event(evutil_socket_t, short what, void* self) {
     unsigned ready = (what & (EV_READ | EV_CLOSED) ? kReadable : 0u) |
@@ -80,14 +80,14 @@
   Io& io_;
   Target& target_;
   EventPtr read_, write_, retry_;
-  bool read_on_ = false, write_unarmed_ = false;
-  Micros write_limit_ = 0;
+  bool read_enabled_ = false, write_needs_arming_ = false;
+  Micros write_timeout_ = 0;
 };
 
 class SystemAlarm final : public Alarm {
  public:
   SystemAlarm(Io& io, event_base* base, std::function<void()> on_expiry)
-      : io_(io), rings_(std::move(on_expiry)) {
+      : io_(io), on_expiry_(std::move(on_expiry)) {
     event_.reset(event_new(base, -1, 0, on_event, this));
   }
   void set(Micros after) override {
@@ -100,11 +100,11 @@
   static void on_event(evutil_socket_t, short, void* self) {
     auto* alarm = static_cast<SystemAlarm*>(self);
     alarm->io_.update_time();
-    alarm->rings_();
+    alarm->on_expiry_();
   }
 
   Io& io_;
-  std::function<void()> rings_;
+  std::function<void()> on_expiry_;
   EventPtr event_;
 };
 
@@ -122,23 +122,23 @@
     ready_.reset(event_new(base, -1, 0, on_ready, this));
   }
 
-  void start(const std::string& address, const std::string& path, Micros limit) override {
+  void start(const std::string& address, const std::string& path, Micros timeout) override {
     stop();
     address_ = address;
     path_ = path;
-    limit_ = limit;
+    timeout_ = timeout;
     started_ = io_.now();
-    reused_ = connection_ && address == connected_to_ && started_ - answered_ <= kReuseWithin &&
+    reused_ = connection_ && address == connected_to_ && started_ - answered_ <= kReuseWindow &&
               started_ >= no_reuse_until_;
     if (!reused_) connection_.reset();
-    make();
+    send_request();
   }
 
   void stop() override {
     // No answer on a used connection: perhaps the other side takes one call on each.
-    if (under_way_ && reused_) no_reuse_until_ = io_.now() + kNoReuse;
-    if (under_way_) connection_.reset();
-    under_way_ = false;
+    if (in_progress_ && reused_) no_reuse_until_ = io_.now() + kNoReuseDuration;
+    if (in_progress_) connection_.reset();
+    in_progress_ = false;
     answer_.reset();
     event_del(ready_.get());
   }
@@ -148,15 +148,15 @@
     void operator()(evhttp_connection* c) const { evhttp_connection_free(c); }
   };
 
-  void make() {
-    under_way_ = true;
+  void send_request() {
+    in_progress_ = true;
     if (!connection_) connect();
     evhttp_request* request = connection_ ? evhttp_request_new(on_answer, this) : nullptr;
     if (!request) {
       event_active(ready_.get(), 0, 0);
       return;
     }
-    timeval wait = timeval_of(limit_);
+    timeval wait = timeval_of(timeout_);
     evhttp_connection_set_timeout_tv(connection_.get(), &wait);
     evkeyvalq* headers = evhttp_request_get_output_headers(request);
     evhttp_add_header(headers, "Host", address_.c_str());
@@ -171,8 +171,8 @@
     connection_.reset(evhttp_connection_base_new(base_, nullptr, host.c_str(), port));
     connected_to_ = address_;
     if (!connection_) return;
-    evhttp_connection_set_max_body_size(connection_.get(), kMaxBody);
-    evhttp_connection_set_max_headers_size(connection_.get(), kMaxHeaders);
+    evhttp_connection_set_max_body_size(connection_.get(), kMaxBodyBytes);
+    evhttp_connection_set_max_headers_size(connection_.get(), kMaxHeaderBytes);
   }
 
   static void on_answer(evhttp_request* request, void* self) {
@@ -193,19 +193,19 @@
   static void on_ready(evutil_socket_t, short, void* self) {
     auto* call = static_cast<SystemHttpGet*>(self);
     call->io_.update_time();
-    call->end();
+    call->finish();
   }
 
-  void end() {
+  void finish() {
     Micros now = io_.now();
     if (!answer_) connection_.reset();
-    if (!answer_ && reused_ && now - started_ <= kStaleWithin) {
+    if (!answer_ && reused_ && now - started_ <= kStaleConnectionWindow) {
       reused_ = false;
-      make();
+      send_request();
       return;
     }
     answered_ = now;
-    under_way_ = false;
+    in_progress_ = false;
     done_(std::exchange(answer_, std::nullopt));
   }
 
@@ -216,14 +216,14 @@
   EventPtr ready_;
   std::optional<Answer> answer_;
   std::string address_, path_, connected_to_;
-  Micros limit_ = 0, started_ = 0, answered_ = 0, no_reuse_until_ = 0;
-  bool under_way_ = false;
+  Micros timeout_ = 0, started_ = 0, answered_ = 0, no_reuse_until_ = 0;
+  bool in_progress_ = false;
   bool reused_ = false;  // the call went out on a connection that had answered before
 };
 
 /// For recv() and send(): what is out of memory for now is tried again, as what would block.
-ssize_t again_or_broken() {
-  return connection_result_of(errno) == CallResult::kPermanentError ? Io::kBroken : Io::kAgain;
+ssize_t error_result() {
+  return classify_connection_error(errno) == CallResult::kPermanentError ? Io::kBroken : Io::kAgain;
 }
 
 void no_delay(int socket) {
@@ -272,21 +272,21 @@
       socket = Socket(*this, fd);
       return Accepted::kOne;
     }
-    if (concerns_one_connection(errno)) continue;
+    if (affects_one_connection(errno)) continue;
     if (errno == EMFILE) return Accepted::kNoDescriptor;
-    return result_of(errno) == CallResult::kWouldBlock ? Accepted::kNone
-                                                       : Accepted::kTransientError;
+    return classify_error(errno) == CallResult::kWouldBlock ? Accepted::kNone
+                                                            : Accepted::kTransientError;
   }
 }
 
 CallResult SystemIo::connect(const sockaddr_in& address, Socket& socket) {
-  Socket fresh(*this, ::socket(AF_INET, SOCK_STREAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0));
-  if (!fresh) return result_of(errno);
-  no_delay(fresh.number());
+  Socket created(*this, ::socket(AF_INET, SOCK_STREAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0));
+  if (!created) return classify_error(errno);
+  no_delay(created.number());
   int result =
-      ::connect(fresh.number(), reinterpret_cast<const sockaddr*>(&address), sizeof address);
-  if (result != 0 && errno != EINPROGRESS) return result_of(errno);
-  socket = std::move(fresh);
+      ::connect(created.number(), reinterpret_cast<const sockaddr*>(&address), sizeof address);
+  if (result != 0 && errno != EINPROGRESS) return classify_error(errno);
+  socket = std::move(created);
   return CallResult::kDone;
 }
 
@@ -299,23 +299,23 @@
 }
 
 ssize_t SystemIo::recv(int socket, char* to, std::size_t size) {
-  ssize_t got = retry_interrupted([&] { return ::recv(socket, to, size, 0); });
-  return got >= 0 ? got : again_or_broken();
+  ssize_t received = retry_interrupted([&] { return ::recv(socket, to, size, 0); });
+  return received >= 0 ? received : error_result();
 }
 
 ssize_t SystemIo::send(int socket, const iovec* parts, std::size_t count) {
   msghdr message{};
   message.msg_iov = const_cast<iovec*>(parts);
   message.msg_iovlen = count;
-  ssize_t put = retry_interrupted([&] { return ::sendmsg(socket, &message, MSG_NOSIGNAL); });
-  return put >= 0 ? put : again_or_broken();
+  ssize_t sent = retry_interrupted([&] { return ::sendmsg(socket, &message, MSG_NOSIGNAL); });
+  return sent >= 0 ? sent : error_result();
 }
 
 bool SystemIo::may_have_input(int socket) {
   char byte;
-  ssize_t got =
+  ssize_t received =
       retry_interrupted([&] { return ::recv(socket, &byte, 1, MSG_PEEK | MSG_DONTWAIT); });
-  return got >= 0 || connection_result_of(errno) != CallResult::kWouldBlock;
+  return received >= 0 || classify_connection_error(errno) != CallResult::kWouldBlock;
 }
 
 bool SystemIo::peer_ended(int socket) {
--- a/src/protocol/command.hpp
+++ b/src/protocol/command.hpp
@@ -20,7 +20,7 @@
     4u << 20;  ///< bytes of a value that is passed on as it comes
 
 /// The protocols that codecs exist for.
-enum class Wire : std::uint8_t { Meta };
+enum class WireProtocol : std::uint8_t { Meta };
 
 /// One request.
 struct Command {
@@ -35,7 +35,7 @@
   std::string listener;  ///< by which it came; empty = the platform's
   /// What a codec needs to pass the request on as its client wrote it; no other code reads it. Of a
   /// meta command the line without its end, cut open where the figure of `d` stands.
-  Wire wire = Wire::Meta;
+  WireProtocol protocol = WireProtocol::Meta;
   std::string head, tail;
 
   /// As made anew, but for the memory of its texts, which is kept for the next one.
@@ -51,7 +51,7 @@
     text->clear();
   wait_ms = 0;
   work.reset();
-  wire = Wire::Meta;
+  protocol = WireProtocol::Meta;
 }
 
 /// A cache server's answer.
--- a/src/protocol/meta.cpp
+++ b/src/protocol/meta.cpp
@@ -11,8 +11,8 @@
 namespace violetusher::protocol {
 namespace {
 
-constexpr std::size_t kMaxPairs = 16;  // names and values of one command
-constexpr double kMaxFigure = 1e9;     // of a load report; beyond, it can't be read
+constexpr std::size_t kMaxPairs = 16;    // names and values of one command
+constexpr double kMaxReportValue = 1e9;  // of a load report; beyond, it can't be read
 
 template <typename T>
 std::optional<T> number(std::string_view text) {
@@ -33,8 +33,8 @@
 /// Moves bytes up to and with the next '\n' from `in` behind `partial`. Gives the line without its
 /// end when it is whole; it lives in `in`'s memory or in `partial`, which the caller clears then.
 /// Sets `too_long` when no line end came within kMaxLineBytes bytes.
-std::optional<std::string_view> take_text_line(std::string_view& in, std::string& partial,
-                                               bool& too_long) {
+std::optional<std::string_view> read_line(std::string_view& in, std::string& partial,
+                                          bool& too_long) {
   std::size_t end = in.find('\n');
   std::size_t size = end == in.npos ? in.size() : end + 1;
   if (partial.size() + size > kMaxLineBytes) {
@@ -52,15 +52,15 @@
 }
 
 /// Moves up to `need` bytes from `in` behind `to`.
-void take_bytes(std::string_view& in, std::string& to, std::size_t& need) {
-  std::size_t size = std::min(need, in.size());
+void read_bytes(std::string_view& in, std::string& to, std::size_t& remaining) {
+  std::size_t size = std::min(remaining, in.size());
   to.append(in.data(), size);
   in.remove_prefix(size);
-  need -= size;
+  remaining -= size;
 }
 
 /// Takes the line end off that a value must have behind it; false where it has none.
-bool drop_line_end(std::string& value) {
+bool strip_line_end(std::string& value) {
   if (value.size() < 2 || value[value.size() - 2] != '\r' || value.back() != '\n') return false;
   value.resize(value.size() - 2);
   return true;
@@ -94,14 +94,18 @@
 
 void append_reply(std::string& out, const std::string& id, const Reply& reply) {
   char digits[24];
-  auto figure = [&](auto value) -> std::string_view {
+  auto digits_of = [&](auto value) -> std::string_view {
     char* end = std::to_chars(digits, digits + sizeof digits, value).ptr;
     return {digits, static_cast<std::size_t>(end - digits)};
   };
   switch (reply.kind) {
     case Reply::Kind::Value:
       out.reserve(out.size() + reply.value.size() + id.size() + 40);
-      out.append("VA ").append(figure(reply.value.size())).append(" O").append(id).append("\r\n");
+      out.append("VA ")
+          .append(digits_of(reply.value.size()))
+          .append(" O")
+          .append(id)
+          .append("\r\n");
       out.append(reply.value);
       break;
     case Reply::Kind::Stored:
@@ -110,7 +114,8 @@
       break;
     case Reply::Kind::Busy:
       out.append("SERVER_ERROR busy");
-      if (reply.retry_after > 0) out.append(" ").append(figure((reply.retry_after + 999) / 1000));
+      if (reply.retry_after > 0)
+        out.append(" ").append(digits_of((reply.retry_after + 999) / 1000));
       break;
     case Reply::Kind::Failed:
       out.append("SERVER_ERROR failed");
@@ -122,7 +127,7 @@
   out.append("\r\n");
 }
 
-CommandReader::Got CommandReader::take_line(std::string_view line, Command& command) {
+CommandReader::Got CommandReader::parse_line(std::string_view line, Command& command) {
   std::string_view rest = line;
   std::string_view verb = next_word(rest);
   if (verb == "mn" && next_word(rest).empty()) return Got::Noop;
@@ -135,7 +140,7 @@
   if (command.set) {
     auto length = number<std::size_t>(next_word(rest));
     if (!length || *length > kMaxValueBytes) return Got::Bad;
-    value_need_ = *length + 2;
+    value_remaining_ = *length + 2;
   }
   std::string_view pairs;
   bool wants_value = false;
@@ -193,19 +198,19 @@
   while (!in.empty()) {
     if (state_ == State::Line) {
       bool too_long = false;
-      auto line = take_text_line(in, partial_, too_long);
+      auto line = read_line(in, partial_, too_long);
       if (too_long) return Got::Bad;
       if (!line) return Got::Nothing;
-      Got got = take_line(*line, command);
+      Got got = parse_line(*line, command);
       std::string().swap(partial_);
       if (got != Got::Nothing) return got;
     } else {
-      take_bytes(in, pending_.value, value_need_);
-      if (value_need_ > 0) return Got::Nothing;
+      read_bytes(in, pending_.value, value_remaining_);
+      if (value_remaining_ > 0) return Got::Nothing;
       state_ = State::Line;
       command = std::move(pending_);
       pending_ = Command();
-      return drop_line_end(command.value) ? Got::Command : Got::Bad;
+      return strip_line_end(command.value) ? Got::Command : Got::Bad;
     }
   }
   return Got::Nothing;
@@ -222,7 +227,7 @@
     if (eq == pair.npos) continue;
     auto field = violetusher::protocol::report_field_of(pair.substr(0, eq));
     auto value = number<double>(pair.substr(eq + 1));
-    if (!field || !value || !(*value >= 0 && *value <= kMaxFigure)) continue;  // unreadable
+    if (!field || !value || !(*value >= 0 && *value <= kMaxReportValue)) continue;  // unreadable
     auto at = std::find(fields_->begin(), fields_->end(), *field);
     auto place = static_cast<std::size_t>(at - fields_->begin());
     if (place >= report.size()) continue;
@@ -243,7 +248,7 @@
     auto length = number<std::size_t>(next_word(rest));
     if (!length || *length > kMaxStreamedValueBytes) return false;
     answer.length = *length;
-    need_ = *length + 2;
+    remaining_ = *length + 2;
   } else if (verb == "HD") {
     answer.kind = Answer::Kind::Stored;
   } else if (verb == "EN") {
@@ -293,7 +298,7 @@
   while (!in.empty()) {
     if (state_ == State::Line) {
       bool too_long = false;
-      auto line = take_text_line(in, partial_, too_long);
+      auto line = read_line(in, partial_, too_long);
       if (too_long) return Got::Broken;
       if (!line) return Got::Nothing;
       bool good = parse_line(*line, answer);
@@ -302,18 +307,18 @@
       if (answer.kind != Answer::Kind::Value) return Got::Answer;
       if (answer.length > kMaxValueBytes) {
         pending_ = answer;
-        need_ = answer.length;
+        remaining_ = answer.length;
         state_ = State::Long;
         return Got::Begin;
       }
       std::swap(pending_, answer);
-      pending_.value.reserve(need_);
+      pending_.value.reserve(remaining_);
       state_ = State::Value;
     } else if (state_ == State::Long) {
-      piece_ = in.substr(0, need_);
+      piece_ = in.substr(0, remaining_);
       in.remove_prefix(piece_.size());
-      need_ -= piece_.size();
-      if (need_ == 0) state_ = State::LongEnd;
+      remaining_ -= piece_.size();
+      if (remaining_ == 0) state_ = State::LongEnd;
       return Got::Piece;
     } else if (state_ == State::LongEnd) {
       partial_ += in.front();
@@ -326,11 +331,11 @@
       pending_ = Answer();
       return Got::Answer;
     } else {
-      take_bytes(in, pending_.value, need_);
-      if (need_ > 0) return Got::Nothing;
+      read_bytes(in, pending_.value, remaining_);
+      if (remaining_ > 0) return Got::Nothing;
       state_ = State::Line;
       std::swap(answer, pending_);
-      return drop_line_end(answer.value) ? Got::Answer : Got::Broken;
+      return strip_line_end(answer.value) ? Got::Answer : Got::Broken;
     }
   }
   return Got::Nothing;
--- a/src/protocol/meta.hpp
+++ b/src/protocol/meta.hpp
@@ -43,12 +43,12 @@
 
  private:
   enum class State { Line, Value };
-  Got take_line(std::string_view line, Command& command);
+  Got parse_line(std::string_view line, Command& command);
 
   State state_ = State::Line;
   std::string partial_;
   Command pending_;
-  std::size_t value_need_ = 0;
+  std::size_t value_remaining_ = 0;
 };
 
 /// Reads answers of one connection, in their order.
@@ -77,7 +77,7 @@
   State state_ = State::Line;
   std::string partial_;
   Answer pending_;
-  std::size_t need_ = 0;
+  std::size_t remaining_ = 0;
   std::string_view piece_;
 };
 
--- a/src/protocol/settings.cpp
+++ b/src/protocol/settings.cpp
@@ -48,11 +48,11 @@
     auto it = by_path.find(path);
     return it == by_path.end() ? std::string_view() : it->second;
   }
-  double number(const std::string& path, double absent) const {
-    return text(path).empty() ? absent : to_number(text(path), path);
+  double number(const std::string& path, double fallback) const {
+    return text(path).empty() ? fallback : to_number(text(path), path);
   }
-  std::int64_t integer(const std::string& path, std::int64_t absent) const {
-    return text(path).empty() ? absent : to_integer(text(path), path);
+  std::int64_t integer(const std::string& path, std::int64_t fallback) const {
+    return text(path).empty() ? fallback : to_integer(text(path), path);
   }
 };
 
@@ -61,9 +61,11 @@
 Settings settings_of(const SettingPairs& by_path) {
   Reader read{by_path};
   auto text = [&](const std::string& path) { return read.text(path); };
-  auto number = [&](const std::string& path, double absent) { return read.number(path, absent); };
-  auto integer = [&](const std::string& path, std::int64_t absent) {
-    return read.integer(path, absent);
+  auto number = [&](const std::string& path, double fallback) {
+    return read.number(path, fallback);
+  };
+  auto integer = [&](const std::string& path, std::int64_t fallback) {
+    return read.integer(path, fallback);
   };
   auto flag = [&](const std::string& path) {
     return !text(path).empty() && to_flag(text(path), path);
@@ -131,8 +133,8 @@
 ConnectionSettings connection_settings_of(const SettingPairs& by_path) {
   Reader read{by_path};
   ConnectionSettings l;
-  auto positive = [&](const char* path, std::int64_t absent) {
-    return in_range(read.integer(path, absent), 1, std::int64_t{1} << 50, path);
+  auto positive = [&](const char* path, std::int64_t fallback) {
+    return in_range(read.integer(path, fallback), 1, std::int64_t{1} << 50, path);
   };
   l.streams = static_cast<int>(
       std::min<std::int64_t>(positive("Limits.StreamsPerConn", l.streams), 1'000'000));
--- a/tests/core/config/config_test.cpp
+++ b/tests/core/config/config_test.cpp
@@ -212,10 +212,10 @@
 }
 
 TEST(Bounds, LargeAndDeepFilesEndSoonWithAClearWord) {
-  Compiled c = compile("big", std::string(kMostBytes + 1, ' '), nothing);
+  Compiled c = compile("big", std::string(kMaxTotalBytes + 1, ' '), nothing);
   EXPECT_EQ(c.diagnostics.list().at(0).what, "the file is larger than 16 MiB");
   c = compile("rubbish", std::string(10u << 20, '{'), nothing);
-  EXPECT_LE(c.diagnostics.list().size(), Diagnostics::kMost);
+  EXPECT_LE(c.diagnostics.list().size(), Diagnostics::kMaxShown);
   EXPECT_FALSE(c.diagnostics.none());
   c = compile("brackets", "version 1;\n" + std::string(10u << 20, '['), nothing);
   EXPECT_FALSE(c.diagnostics.none());
@@ -278,12 +278,12 @@
 RC_GTEST_PROP(Figures, AreReadBackAsWritten, ()) {
   for (Type type :
        {Type::kDuration, Type::kSize, Type::kRate, Type::kPercent, Type::kShare, Type::kInteger}) {
-    double figure = *rc::gen::inRange<std::int64_t>(0, 100'000'000'000);
-    if (type == Type::kPercent) figure /= 1e11;
-    if (type == Type::kRate || type == Type::kShare) figure /= 1024;
+    double quantity = *rc::gen::inRange<std::int64_t>(0, 100'000'000'000);
+    if (type == Type::kPercent) quantity /= 1e11;
+    if (type == Type::kRate || type == Type::kShare) quantity /= 1024;
     double back = -1;
-    RC_ASSERT(read_figure(type, write_figure(type, figure), back));
-    RC_ASSERT(std::abs(back - figure) <= figure * 1e-12);
+    RC_ASSERT(parse_quantity(type, format_quantity(type, quantity), back));
+    RC_ASSERT(std::abs(back - quantity) <= quantity * 1e-12);
   }
 }
 
--- a/tests/daemon/flight_test.cpp
+++ b/tests/daemon/flight_test.cpp
@@ -27,7 +27,7 @@
     start(recorded);
   }
   ~Daemon() {
-    end(SIGKILL);
+    stop_with(SIGKILL);
     fs::remove_all(folder_);
   }
   void start(bool recorded) {
@@ -45,22 +45,22 @@
       ::_exit(127);
     }
     ::close(out[1]);
-    said_ = Fd(out[0]);
-    std::string text = until("listens on");
+    log_ = Fd(out[0]);
+    std::string text = read_log_until("listens on");
     port_ = static_cast<std::uint16_t>(std::stoi(text.substr(text.rfind(':') + 1)));
   }
   /// What it has said up to a line with `words`, that line included.
-  std::string until(const std::string& words) {
+  std::string read_log_until(const std::string& words) {
     std::string text;
     char byte;
-    while (::read(said_.get(), &byte, 1) == 1) {
+    while (::read(log_.get(), &byte, 1) == 1) {
       text += byte;
       if (byte == '\n' && text.find(words) != text.npos) return text;
     }
     ADD_FAILURE() << "never said '" << words << "': " << text;
     return text;
   }
-  void end(int signal) {
+  void stop_with(int signal) {
     if (pid_ <= 0) return;
     ::kill(pid_, signal);
     ::waitpid(pid_, nullptr, 0);
@@ -72,7 +72,7 @@
 
  private:
   fs::path folder_;
-  Fd said_;
+  Fd log_;
   int pid_ = -1;
   std::uint16_t port_ = 0;
 };
@@ -98,7 +98,7 @@
   LineServer cache(good_cache);
   Daemon daemon(cache, true);
   for (int k = 0; k < 20; ++k) ask(daemon.port(), "a" + std::to_string(k));
-  daemon.end(SIGKILL);
+  daemon.stop_with(SIGKILL);
   auto lines = read(daemon.path());
   ASSERT_EQ(lines.size(), 20u);
   for (const auto& line : lines) {
@@ -119,7 +119,7 @@
   Daemon daemon(cache, true);
   ask(daemon.port(), "a1");
   ::kill(daemon.pid(), SIGUSR2);
-  daemon.until("a copy was put beside the recording");
+  daemon.read_log_until("a copy was put beside the recording");
   ask(daemon.port(), "a2");
   EXPECT_EQ(read(daemon.path() + ".asked-1").size(), 1u);
 }
@@ -128,7 +128,7 @@
   LineServer cache(good_cache);
   Daemon daemon(cache, false);
   ::kill(daemon.pid(), SIGUSR2);
-  daemon.until("nothing is recorded");
+  daemon.read_log_until("nothing is recorded");
   ask(daemon.port(), "a1");
   EXPECT_FALSE(fs::exists(daemon.path()));
 }
--- a/tests/daemon/io_faults_test.cpp
+++ b/tests/daemon/io_faults_test.cpp
@@ -26,7 +26,7 @@
     configure();
     auto daemon = std::make_unique<Daemon>(folder_, Daemon::Options{.faults = true});
     EXPECT_NE(daemon->port(), 0) << daemon->log();
-    EXPECT_TRUE(within(kTestTimeoutMs, [&] { return call("HEALTH") == "SUCCESS\r\n"; }));
+    EXPECT_TRUE(wait_until(kTestTimeoutMs, [&] { return call("HEALTH") == "SUCCESS\r\n"; }));
     return daemon;
   }
   std::string call(const std::string& line) {
@@ -60,10 +60,10 @@
     return served;
   }
 
-  Scratch folder_;
+  TemporaryDirectory folder_;
   LineServer first_{good_cache}, second_{good_cache};
   std::uint16_t operator_port_;
-  HoldingDiscovery discovery_;
+  LongPollDiscovery discovery_;
   RouterOptions options_;
   std::mutex mutex_;
   std::string unserved_;  // what came instead of a value
@@ -137,9 +137,9 @@
 }
 
 TEST_F(IoFaults, ATornBanDoesNotBecomeAnotherServers) {
-  discovery_.tell("s-12", second_.address(), "active");
+  discovery_.set_health("s-12", second_.address(), "active");
   auto daemon = start();
-  ASSERT_TRUE(within(kTestTimeoutMs, [&] { return figures().value("targets", 0) == 3; }));
+  ASSERT_TRUE(wait_until(kTestTimeoutMs, [&] { return figures().value("targets", 0) == 3; }));
   // "OFFLINE s-1" of "OFFLINE s-12".
   faults(
       "write path=.bans short=11 times=1\nwrite path=.bans error=ENOSPC skip=1\n"
@@ -155,25 +155,25 @@
 
 TEST_F(IoFaults, ADiscoveryNamedInSettingsThatCouldNotBeReadIsHeardOnceTheyCan) {
   auto daemon = start();
-  HoldingDiscovery moved({{"s-0", first_.address()}, {"s-1", second_.address()}});
+  LongPollDiscovery moved({{"s-0", first_.address()}, {"s-1", second_.address()}});
   options_.discovery = moved.address();
   configure();
   faults("open path=config.json error=ENFILE until=1s\n");
   daemon->signal(SIGHUP);
-  EXPECT_TRUE(within(3000, [&] { return moved.calls() > 0; })) << daemon->log();
+  EXPECT_TRUE(wait_until(3000, [&] { return moved.calls() > 0; })) << daemon->log();
   EXPECT_GE(figures().value("reload_success", 0), 1);
 }
 
 TEST_F(IoFaults, SighupIsNotLostWhileSendFails) {
   auto daemon = start();
-  HoldingDiscovery moved({{"s-0", first_.address()}, {"s-1", second_.address()}});
+  LongPollDiscovery moved({{"s-0", first_.address()}, {"s-1", second_.address()}});
   options_.discovery = moved.address();
   configure();
   faults("send,write error=ENOBUFS\n");
   daemon->signal(SIGHUP);
   sleep_ms(200);
   faults("");
-  EXPECT_TRUE(within(3000, [&] { return moved.calls() > 0; })) << daemon->log();
+  EXPECT_TRUE(wait_until(3000, [&] { return moved.calls() > 0; })) << daemon->log();
 }
 
 TEST_F(IoFaults, ADrainIsHeardWhileNoSocketCanBeMade) {
@@ -184,7 +184,7 @@
   ASSERT_GT(first_.lines().size(), 0u);
   faults("socket,connect error=ENFILE|ENOBUFS|EADDRNOTAVAIL\n");
   sleep_ms(700);  // no watch of before is open any more
-  discovery_.tell("s-0", first_.address(), "leaving");
+  discovery_.set_health("s-0", first_.address(), "leaving");
   sleep_ms(550);
   std::size_t before = first_.lines().size();
   read_keys(port, "r", 200, 2);
@@ -201,7 +201,7 @@
       "epoll_wait error=EINTR chance=0.3\n");
   const char* health[] = {"leaving", "active"};
   for (int round = 0; round < 12; ++round) {
-    discovery_.tell("s-0", first_.address(), health[round % 2]);
+    discovery_.set_health("s-0", first_.address(), health[round % 2]);
     sleep_ms(550);
     std::size_t before = first_.lines().size();
     read_keys(port, "r" + std::to_string(round) + "-", 40);
@@ -262,7 +262,7 @@
 TEST_F(IoFaults, AClockSteppedBeforeTheStartMakesNoColdServerWarm) {
   options_.slow_start_us = "60000000";
   std::int64_t now_ms = std::time(nullptr) * std::int64_t{1000};
-  discovery_.started("s-1", second_.address(), now_ms - 2000);
+  discovery_.set_start_time("s-1", second_.address(), now_ms - 2000);
   faults("clock step=1h\n");
   auto daemon = start();
   read_keys(daemon->port(), "r", 300);
