--- a/tests/daemon/process_support.hpp
+++ b/tests/daemon/process_support.hpp
@@ -23,7 +23,7 @@
 inline void sleep_ms(int ms) { std::this_thread::sleep_for(std::chrono::milliseconds(ms)); }
 
 /// Waits until `holds` is true, for `limit_ms` at most.
-inline bool within(int limit_ms, const std::function<bool()>& holds) {
+inline bool wait_until(int limit_ms, const std::function<bool()>& holds) {
   auto end = std::chrono::steady_clock::now() + std::chrono::milliseconds(limit_ms);
   do {
     if (holds()) return true;
@@ -33,15 +33,15 @@
 }
 
 /// A folder that goes with the object.
-class Scratch {
+class TemporaryDirectory {
  public:
-  Scratch() {
+  TemporaryDirectory() {
     std::string pattern = ::testing::TempDir() + "/violetusher-XXXXXX";
     path_ = ::mkdtemp(pattern.data());
   }
-  Scratch(const Scratch&) = delete;
-  Scratch& operator=(const Scratch&) = delete;
-  ~Scratch() { std::filesystem::remove_all(path_); }
+  TemporaryDirectory(const TemporaryDirectory&) = delete;
+  TemporaryDirectory& operator=(const TemporaryDirectory&) = delete;
+  ~TemporaryDirectory() { std::filesystem::remove_all(path_); }
   const std::string& path() const { return path_; }
   std::string file(const std::string& name) const { return path_ + "/" + name; }
   /// Under the name at once and whole, as an editor or a roll-out puts it there.
@@ -69,8 +69,8 @@
     std::vector<std::string> environment;  ///< NAME=VALUE
   };
 
-  Daemon(const Scratch& folder, Options options) : folder_(folder) { start(options); }
-  explicit Daemon(const Scratch& folder) : Daemon(folder, Options()) {}
+  Daemon(const TemporaryDirectory& folder, Options options) : folder_(folder) { start(options); }
+  explicit Daemon(const TemporaryDirectory& folder) : Daemon(folder, Options()) {}
   Daemon(const Daemon&) = delete;
   Daemon& operator=(const Daemon&) = delete;
   ~Daemon() {
@@ -91,13 +91,13 @@
     return WIFSIGNALED(status) ? -WTERMSIG(status) : WEXITSTATUS(status);
   }
   std::string log() const { return folder_.read(log_name_); }
-  bool says(const std::string& what, int limit_ms = kTestTimeoutMs) const {
-    return within(limit_ms, [&] { return log().find(what) != std::string::npos; });
+  bool logs(const std::string& what, int limit_ms = kTestTimeoutMs) const {
+    return wait_until(limit_ms, [&] { return log().find(what) != std::string::npos; });
   }
   /// Its port for clients, once it listens; 0 where it does not come to that.
   std::uint16_t port() const {
     const std::string mark = "listens on 127.0.0.1:";
-    if (!says(mark)) return 0;
+    if (!logs(mark)) return 0;
     std::string text = log();
     return static_cast<std::uint16_t>(std::atoi(text.c_str() + text.find(mark) + mark.size()));
   }
@@ -135,7 +135,7 @@
     ::_exit(127);
   }
 
-  const Scratch& folder_;
+  const TemporaryDirectory& folder_;
   std::string log_name_;
   pid_t pid_ = -1;
 };
@@ -152,9 +152,9 @@
 
 /// Discovery, or an agent that has its list: answers at once where there is news, holds watches for
 /// the time that they ask for, and keeps connections.
-class HoldingDiscovery {
+class LongPollDiscovery {
  public:
-  explicit HoldingDiscovery(const std::map<std::string, std::string>& dials)
+  explicit LongPollDiscovery(const std::map<std::string, std::string>& dials)
       : listener_(::socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0)) {
     for (const auto& [id, dial] : dials) entries_[id] = host_entry(id, dial);
     sockaddr_in a = loopback(0);
@@ -165,7 +165,7 @@
     port_ = ntohs(a.sin_port);
     accepting_ = std::thread([this] { accept(); });
   }
-  ~HoldingDiscovery() {
+  ~LongPollDiscovery() {
     {
       std::lock_guard lock(mutex_);
       stop_ = true;
@@ -183,7 +183,7 @@
   int calls() const { return calls_; }
   int connections() const { return connections_; }
   /// The list names this start of the server, in milliseconds of Unix time.
-  void started(const std::string& id, const std::string& dial, std::int64_t born_ms) {
+  void set_start_time(const std::string& id, const std::string& dial, std::int64_t born_ms) {
     std::lock_guard lock(mutex_);
     const std::string none = "\"born_ms\":0";
     std::string entry = host_entry(id, dial);
@@ -191,7 +191,7 @@
     entries_[id] = entry;
   }
   /// From now on the server is told of as "leaving", "active" or "left".
-  void tell(const std::string& id, const std::string& dial, const std::string& health) {
+  void set_health(const std::string& id, const std::string& dial, const std::string& health) {
     std::lock_guard lock(mutex_);
     entries_[id] = host_entry(id, dial, health);
     last_ = id;
--- a/tests/net/ban_log_test.cpp
+++ b/tests/net/ban_log_test.cpp
@@ -21,8 +21,8 @@
     path_ = folder_ + "/bans";
   }
   ~BanLogTest() override { std::filesystem::remove_all(folder_); }
-  bool append(const std::string& id, bool out) {
-    return append_bans(path_, {{id, out}}, false).done();
+  bool append(const std::string& id, bool banned) {
+    return append_bans(path_, {{id, banned}}, false).done();
   }
   std::string folder_, path_;
 };
@@ -31,16 +31,18 @@
 struct Follower {
   explicit Follower(const std::string& path) : reader(path) {}
   bool poll() {
-    std::set<std::string> before = out;
-    BanLogReader::News news;
-    if (!reader.poll(news).done()) return false;
-    if (news == BanLogReader::News::kWhole || news == BanLogReader::News::kOther) out.clear();
+    std::set<std::string> before = banned;
+    BanLogReader::Update update;
+    if (!reader.poll(update).done()) return false;
+    if (update == BanLogReader::Update::kCompacted || update == BanLogReader::Update::kReplaced)
+      banned.clear();
     for (const BanLine& line : reader.lines())
-      line.out ? static_cast<void>(out.insert(line.id)) : static_cast<void>(out.erase(line.id));
-    return out != before;
+      line.banned ? static_cast<void>(banned.insert(line.id))
+                  : static_cast<void>(banned.erase(line.id));
+    return banned != before;
   }
   BanLogReader reader;
-  std::set<std::string> out;
+  std::set<std::string> banned;
 };
 
 TEST_F(BanLogTest, TwoWritersAndALateReaderAgree) {
@@ -49,21 +51,21 @@
   std::mt19937 random(7);
   for (int k = 0; k < 20'000; ++k) {  // past the bound many times
     std::string id = "s-" + std::to_string(random() % 40);
-    bool out = random() % 2;
-    ASSERT_TRUE(append(id, out));
-    out ? model.insert(id).second : model.erase(id) > 0;
+    bool banned = random() % 2;
+    ASSERT_TRUE(append(id, banned));
+    banned ? model.insert(id).second : model.erase(id) > 0;
     if (random() % 5 == 0) a.poll();
     if (random() % 50 == 0) b.poll();
     if (k % 1000 == 0) {
       a.poll(), b.poll();
-      ASSERT_EQ(a.out, model);
-      ASSERT_EQ(b.out, model);
+      ASSERT_EQ(a.banned, model);
+      ASSERT_EQ(b.banned, model);
     }
   }
   Follower late(path_);
   EXPECT_EQ(late.poll(), !model.empty());
-  EXPECT_EQ(late.out, model);
-  EXPECT_LT(std::filesystem::file_size(path_), 2 * kCompactBansAt);
+  EXPECT_EQ(late.banned, model);
+  EXPECT_LT(std::filesystem::file_size(path_), 2 * kCompactionThresholdBytes);
 }
 
 TEST_F(BanLogTest, TornAndForeignLinesSayNothing) {
@@ -72,10 +74,10 @@
   std::ofstream(path_, std::ios::app) << "nonsense\nOFFLINE \nHEALTH\n"
                                       << std::string(100'000, 'x') << "\nOFFLINE s-2";
   a.poll();
-  EXPECT_EQ(a.out, std::set<std::string>{"s-1"});  // s-2's end has not come
-  ASSERT_TRUE(append("s-3", true));                // in place of the torn line
+  EXPECT_EQ(a.banned, std::set<std::string>{"s-1"});  // s-2's end has not come
+  ASSERT_TRUE(append("s-3", true));                   // in place of the torn line
   a.poll();
-  EXPECT_EQ(a.out, (std::set<std::string>{"s-1", "s-3"}));
+  EXPECT_EQ(a.banned, (std::set<std::string>{"s-1", "s-3"}));
 }
 
 TEST_F(BanLogTest, ALineTornAtAnyByteNeverBecomesAnotherOne) {
@@ -90,8 +92,8 @@
     late.poll();
     std::set<std::string> expected{"s-0", "s-9"};
     if (torn == line.size()) expected.insert("s-123456");
-    EXPECT_EQ(late.out, expected) << torn;
-    EXPECT_EQ(early.out, expected) << torn;
+    EXPECT_EQ(late.banned, expected) << torn;
+    EXPECT_EQ(early.banned, expected) << torn;
   }
 }
 
@@ -102,16 +104,16 @@
   EXPECT_FALSE(a.reader.at_end());
   ASSERT_TRUE(append("s-1", true));
   for (int k = 0; k < 4; ++k) a.poll();
-  EXPECT_EQ(a.out, std::set<std::string>{"s-1"});
-  EXPECT_LT(std::filesystem::file_size(path_), kCompactBansAt);
+  EXPECT_EQ(a.banned, std::set<std::string>{"s-1"});
+  EXPECT_LT(std::filesystem::file_size(path_), kCompactionThresholdBytes);
 }
 
 TEST_F(BanLogTest, WithoutAFolderNothingIsKept) {
   EXPECT_FALSE(append_bans("", {{"s-1", true}}).done());
   EXPECT_FALSE(append_bans(folder_ + "/missing/bans", {{"s-1", true}}).done());
   BanLogReader none(folder_ + "/missing/bans");
-  BanLogReader::News news;
-  EXPECT_EQ(none.poll(news).error, ENOENT);
+  BanLogReader::Update update;
+  EXPECT_EQ(none.poll(update).error, ENOENT);
 }
 
 }  // namespace
--- a/tests/net/ban_store_test.cpp
+++ b/tests/net/ban_store_test.cpp
@@ -22,13 +22,13 @@
   }
   ~BanStoreTest() override { fs::remove_all(folder_); }
   /// Advances until the promise is durable; false where it does not come to that.
-  static bool settle(BanStore& store, BanStore::Number number) {
+  static bool advance_until_durable(BanStore& store, BanStore::Sequence sequence) {
     Micros now = 0;
-    for (int k = 0; k < 2000 && !store.durable(number); ++k) {
+    for (int k = 0; k < 2000 && !store.is_durable(sequence); ++k) {
       store.advance(now += 300 * kMillisecond);
       ::usleep(1000);
     }
-    return store.durable(number);
+    return store.is_durable(sequence);
   }
   std::string folder_, path_;
   using Ids = std::set<std::string>;
@@ -36,86 +36,86 @@
 
 TEST_F(BanStoreTest, IsInForceAtOnceAndDurableForTheNextProcess) {
   BanStore store(path_);
-  BanStore::Number number = store.promise("s-1", true);
-  EXPECT_EQ(store.out(), Ids{"s-1"});
-  EXPECT_FALSE(store.durable(number));
-  ASSERT_TRUE(settle(store, number));
+  BanStore::Sequence sequence = store.set_banned("s-1", true);
+  EXPECT_EQ(store.banned(), Ids{"s-1"});
+  EXPECT_FALSE(store.is_durable(sequence));
+  ASSERT_TRUE(advance_until_durable(store, sequence));
   BanStore next(path_);
-  EXPECT_FALSE(next.known());
+  EXPECT_FALSE(next.loaded());
   EXPECT_TRUE(next.advance(0));
-  EXPECT_TRUE(next.known());
-  EXPECT_EQ(next.out(), Ids{"s-1"});
+  EXPECT_TRUE(next.loaded());
+  EXPECT_EQ(next.banned(), Ids{"s-1"});
 }
 
 TEST_F(BanStoreTest, WhatCouldNotBeWrittenHoldsAndIsWrittenLater) {
   path_ = folder_ + "/missing/bans";
   BanStore store(path_);
-  BanStore::Number first = store.promise("s-1", true);
+  BanStore::Sequence first = store.set_banned("s-1", true);
   for (int k = 0; k < 30; ++k) {
     store.advance(k * 300 * kMillisecond);
     ::usleep(1000);
   }
-  EXPECT_FALSE(store.durable(first));
-  EXPECT_NE(store.trouble(), "");
+  EXPECT_FALSE(store.is_durable(first));
+  EXPECT_NE(store.error(), "");
   fs::create_directory(folder_ + "/missing");
-  BanStore::Number second = store.promise("s-2", true);
-  ASSERT_TRUE(settle(store, second));
-  EXPECT_TRUE(store.durable(first));
-  EXPECT_EQ(store.out(), (Ids{"s-1", "s-2"}));
+  BanStore::Sequence second = store.set_banned("s-2", true);
+  ASSERT_TRUE(advance_until_durable(store, second));
+  EXPECT_TRUE(store.is_durable(first));
+  EXPECT_EQ(store.banned(), (Ids{"s-1", "s-2"}));
   BanStore next(path_);
   next.advance(0);
-  EXPECT_EQ(next.out(), (Ids{"s-1", "s-2"}));
+  EXPECT_EQ(next.banned(), (Ids{"s-1", "s-2"}));
 }
 
 TEST_F(BanStoreTest, AFileThatIsGoneCutOffOrForeignTakesNoBanBack) {
   BanStore store(path_);
-  ASSERT_TRUE(settle(store, store.promise("s-1", true)));
+  ASSERT_TRUE(advance_until_durable(store, store.set_banned("s-1", true)));
   store.advance(0);
-  auto spoil = [&](const std::string& what) {
+  auto replace_file_with = [&](const std::string& what) {
     fs::remove_all(path_);
     if (!what.empty()) std::ofstream(path_) << what;
     store.advance(1);
-    EXPECT_EQ(store.out().count("s-1"), 1u) << what;
-    ASSERT_TRUE(settle(store, store.promise("s-2", true)));
+    EXPECT_EQ(store.banned().count("s-1"), 1u) << what;
+    ASSERT_TRUE(advance_until_durable(store, store.set_banned("s-2", true)));
     BanStore next(path_);
     next.advance(0);
-    EXPECT_EQ(next.out(), (Ids{"s-1", "s-2"})) << what;
+    EXPECT_EQ(next.banned(), (Ids{"s-1", "s-2"})) << what;
   };
-  spoil("");
-  spoil("nonsense\n");
-  spoil("OFFLI");
-  spoil("ONLINE s-7\n");
+  replace_file_with("");
+  replace_file_with("nonsense\n");
+  replace_file_with("OFFLI");
+  replace_file_with("ONLINE s-7\n");
 }
 
 TEST_F(BanStoreTest, AFolderInItsPlaceIsTroubleAndTheBanHolds) {
   fs::create_directory(path_);
   BanStore store(path_);
   store.advance(0);
-  EXPECT_TRUE(store.known());  // it never can be read
-  store.promise("s-1", true);
+  EXPECT_TRUE(store.loaded());  // it never can be read
+  store.set_banned("s-1", true);
   for (int k = 0; k < 30; ++k) {
     store.advance(k * 300 * kMillisecond);
     ::usleep(1000);
   }
-  EXPECT_EQ(store.out(), Ids{"s-1"});
-  EXPECT_NE(store.trouble(), "");
+  EXPECT_EQ(store.banned(), Ids{"s-1"});
+  EXPECT_NE(store.error(), "");
 }
 
 TEST_F(BanStoreTest, AnotherProcessTakesBackByItsOwnLineAlone) {
   BanStore a(path_), b(path_);
-  ASSERT_TRUE(settle(a, a.promise("s-1", true)));
+  ASSERT_TRUE(advance_until_durable(a, a.set_banned("s-1", true)));
   b.advance(0);
-  ASSERT_EQ(b.out(), Ids{"s-1"});
-  ASSERT_TRUE(settle(b, b.promise("s-1", false)));
+  ASSERT_EQ(b.banned(), Ids{"s-1"});
+  ASSERT_TRUE(advance_until_durable(b, b.set_banned("s-1", false)));
   a.advance(0);
-  EXPECT_EQ(a.out(), Ids{});
+  EXPECT_EQ(a.banned(), Ids{});
 }
 
 TEST_F(BanStoreTest, WithoutAPathNothingIsKeptAndAllIsDurable) {
   BanStore store("");
-  EXPECT_TRUE(store.known());
-  EXPECT_TRUE(store.durable(store.promise("s-1", true)));
-  EXPECT_EQ(store.out(), Ids{"s-1"});
+  EXPECT_TRUE(store.loaded());
+  EXPECT_TRUE(store.is_durable(store.set_banned("s-1", true)));
+  EXPECT_EQ(store.banned(), Ids{"s-1"});
 }
 
 }  // namespace
--- a/tests/net/call_result_test.cpp
+++ b/tests/net/call_result_test.cpp
@@ -9,26 +9,26 @@
 TEST(CallResult, AShortageOfThisMachineIsNoWordOnAnythingElse) {
   for (int error : {EMFILE, ENFILE, ENOBUFS, ENOMEM, ENOSPC, EDQUOT, EIO, EADDRNOTAVAIL,
                     ENETUNREACH, ENETDOWN, ENOLCK, EINTR})
-    EXPECT_EQ(result_of(error), CallResult::kTransientError) << error;
+    EXPECT_EQ(classify_error(error), CallResult::kTransientError) << error;
   for (int error : {ENOENT, EACCES, EISDIR, EROFS, ECONNREFUSED, ETIMEDOUT, EHOSTUNREACH, EPIPE})
-    EXPECT_EQ(result_of(error), CallResult::kPermanentError) << error;
-  EXPECT_EQ(result_of(EAGAIN), CallResult::kWouldBlock);
-  EXPECT_EQ(result_of(0), CallResult::kDone);
+    EXPECT_EQ(classify_error(error), CallResult::kPermanentError) << error;
+  EXPECT_EQ(classify_error(EAGAIN), CallResult::kWouldBlock);
+  EXPECT_EQ(classify_error(0), CallResult::kDone);
 }
 
 TEST(CallResult, AConnectionWithoutItsNetworkIsBroken) {
   for (int error : {ENETUNREACH, EHOSTUNREACH, ETIMEDOUT, ECONNRESET, EPIPE})
-    EXPECT_EQ(connection_result_of(error), CallResult::kPermanentError) << error;
+    EXPECT_EQ(classify_connection_error(error), CallResult::kPermanentError) << error;
   for (int error : {ENOBUFS, ENOMEM})
-    EXPECT_EQ(connection_result_of(error), CallResult::kTransientError) << error;
-  EXPECT_EQ(connection_result_of(EAGAIN), CallResult::kWouldBlock);
+    EXPECT_EQ(classify_connection_error(error), CallResult::kTransientError) << error;
+  EXPECT_EQ(classify_connection_error(EAGAIN), CallResult::kWouldBlock);
 }
 
 TEST(CallResult, AnAcceptThatLostItsConnectionGoesOnToTheNext) {
   for (int error : {ECONNABORTED, EPROTO, ENETUNREACH, EHOSTUNREACH})
-    EXPECT_TRUE(concerns_one_connection(error)) << error;
+    EXPECT_TRUE(affects_one_connection(error)) << error;
   for (int error : {EMFILE, ENFILE, ENOBUFS, ENOMEM, EAGAIN, EBADF})
-    EXPECT_FALSE(concerns_one_connection(error)) << error;
+    EXPECT_FALSE(affects_one_connection(error)) << error;
 }
 
 TEST(CallResult, InterruptedCallsAreMadeAgain) {
--- a/tests/net/discovery_test.cpp
+++ b/tests/net/discovery_test.cpp
@@ -65,15 +65,15 @@
 /// The same where discovery is asked: the watch that says nothing is not waited for to its end, and
 /// nobody is told of a failure. Times are a fortieth of those in use.
 TEST(Membership, AnAskedWatchIsRenewedBesideTheSilentOne) {
-  struct Heard : Discovery::Handler {
+  struct RecordingHandler : Discovery::Handler {
     void on_hosts(HostList&& list, bool) override { version = list.version; }
     void on_hosts_failed() override { ++failed; }
     std::string version;
     int failed = 0;
-  } heard;
-  core::membership::WatchTiming terms = core::membership::polled_timing();
+  } handler;
+  core::membership::WatchTiming timing = core::membership::polled_timing();
   for (Micros* t :
-       {&terms.wait, &terms.renew_from, &terms.renew_to, &terms.limit_at_once, &terms.limit})
+       {&timing.wait, &timing.renew_from, &timing.renew_to, &timing.limit_at_once, &timing.limit})
     *t /= 40;
   Scripted discovery({http(host_list("1", {}, false)), kSilence,
                       http(host_list("2", {host_entry("s-0", "127.0.0.1:9", "leaving")}, false)),
@@ -82,15 +82,15 @@
   SystemIo io(base.get());
   DescriptorSink sink;
   Log log(sink);
-  Discovery asked(io, discovery.address(), "1", terms, 1, heard, log);
+  Discovery asked(io, discovery.address(), "1", timing, 1, handler, log);
   asked.watch();
   auto silent = io.alarm([] {});
-  for (int k = 0; k < 3000 && heard.version != "2" && heard.failed == 0; ++k) {
+  for (int k = 0; k < 3000 && handler.version != "2" && handler.failed == 0; ++k) {
     silent->set(kMillisecond);  // so that nothing hangs where no call is made
     io.run_once();
   }
-  EXPECT_EQ(heard.version, "2");
-  EXPECT_EQ(heard.failed, 0);
+  EXPECT_EQ(handler.version, "2");
+  EXPECT_EQ(handler.failed, 0);
   EXPECT_LT(asked.age(), 10 * kSecond);
 }
 
--- a/tests/net/peer_transport_test.cpp
+++ b/tests/net/peer_transport_test.cpp
@@ -9,13 +9,13 @@
 namespace violetusher::net {
 namespace {
 
-class PeersTest : public testing::Test {
+class PeerTransportTest : public testing::Test {
  protected:
-  PeersTest() : base_(event_base_new()), io_(base_.get()) {}
-  std::unique_ptr<PeerTransport> make(const std::string& to, std::vector<std::string>& heard) {
+  PeerTransportTest() : base_(event_base_new()), io_(base_.get()) {}
+  std::unique_ptr<PeerTransport> make(const std::string& to, std::vector<std::string>& received) {
     auto peers = std::make_unique<PeerTransport>(
         io_, std::map<std::string, std::string>{{"other", to}},
-        [&heard](const std::string& frame, std::uint64_t) { heard.push_back(frame); },
+        [&received](const std::string& frame, std::uint64_t) { received.push_back(frame); },
         [this] { return ++draws_; });
     std::string error;
     EXPECT_TRUE(peers->listen(*parse_address("127.0.0.1:0", true), error)) << error;
@@ -37,29 +37,29 @@
   EventBasePtr base_;
   SystemIo io_;
   std::uint64_t draws_ = 0;
-  std::vector<std::string> heard_a_, heard_b_;
+  std::vector<std::string> received_a_, received_b_;
 };
 
-TEST_F(PeersTest, FramesComeWholeAndInOrderHoweverLarge) {
-  auto b = make("", heard_b_);
-  auto a = make(address(*b), heard_a_);
+TEST_F(PeerTransportTest, FramesComeWholeAndInOrderHoweverLarge) {
+  auto b = make("", received_b_);
+  auto a = make(address(*b), received_a_);
   std::string large(3u << 20, 'x');
   a->send("other", "one");
   a->send("other", "");
   a->send("nobody", "lost");
-  ASSERT_TRUE(run_until([&] { return heard_b_.size() == 2; }));
+  ASSERT_TRUE(run_until([&] { return received_b_.size() == 2; }));
   a->send("other", large);
   a->send("other", "last");
-  ASSERT_TRUE(run_until([&] { return heard_b_.size() == 4; }));
-  EXPECT_EQ(heard_b_, (std::vector<std::string>{"one", "", large, "last"}));
-  EXPECT_TRUE(heard_a_.empty());
+  ASSERT_TRUE(run_until([&] { return received_b_.size() == 4; }));
+  EXPECT_EQ(received_b_, (std::vector<std::string>{"one", "", large, "last"}));
+  EXPECT_TRUE(received_a_.empty());
 }
 
-TEST_F(PeersTest, WhoComesBackIsReachedAgain) {
-  auto b = make("", heard_b_);
-  auto a = make(address(*b), heard_a_);
+TEST_F(PeerTransportTest, WhoComesBackIsReachedAgain) {
+  auto b = make("", received_b_);
+  auto a = make(address(*b), received_a_);
   a->send("other", "one");
-  ASSERT_TRUE(run_until([&] { return heard_b_.size() == 1; }));
+  ASSERT_TRUE(run_until([&] { return received_b_.size() == 1; }));
   sockaddr_in where = *parse_address(address(*b));
   b.reset();
   // Nobody there: what is sent is lost, and nothing piles up.
@@ -73,33 +73,33 @@
   ASSERT_TRUE(run_until([&] { return io_.now() > gone + kSecond / 2; }));
   b = std::make_unique<PeerTransport>(
       io_, std::map<std::string, std::string>(),
-      [&](const std::string& frame, std::uint64_t) { heard_b_.push_back(frame); },
+      [&](const std::string& frame, std::uint64_t) { received_b_.push_back(frame); },
       [this] { return ++draws_; });
   std::string error;
   ASSERT_TRUE(b->listen(where, error)) << error;
-  EXPECT_TRUE(run_until([&] { return heard_b_.size() > 3; }));
+  EXPECT_TRUE(run_until([&] { return received_b_.size() > 3; }));
 }
 
-TEST_F(PeersTest, BytesThatAreNoFrameEndTheConnectionAndNothingElse) {
-  auto b = make("", heard_b_);
-  auto a = make(address(*b), heard_a_);
+TEST_F(PeerTransportTest, BytesThatAreNoFrameEndTheConnectionAndNothingElse) {
+  auto b = make("", received_b_);
+  auto a = make(address(*b), received_a_);
   sockaddr_in to = *parse_address(address(*b));
-  std::string spoilt = PeerTransport::encode_frame("spoilt");
-  spoilt.back() = 'T';
-  for (const std::string& bytes : {std::string(64, '\xff'), spoilt}) {
+  std::string corrupt = PeerTransport::encode_frame("spoilt");
+  corrupt.back() = 'T';
+  for (const std::string& bytes : {std::string(64, '\xff'), corrupt}) {
     Fd fd(::socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0));
     ASSERT_EQ(::connect(fd.get(), reinterpret_cast<sockaddr*>(&to), sizeof to), 0);
     ASSERT_EQ(::send(fd.get(), bytes.data(), bytes.size(), MSG_NOSIGNAL),
               static_cast<ssize_t>(bytes.size()));
-    ASSERT_TRUE(run_until([&] { return b->callers() > 0; }));
-    ASSERT_TRUE(run_until([&] { return b->callers() == 0; }));
+    ASSERT_TRUE(run_until([&] { return b->inbound_connections() > 0; }));
+    ASSERT_TRUE(run_until([&] { return b->inbound_connections() == 0; }));
   }
   a->send("other", "good");
-  ASSERT_TRUE(run_until([&] { return heard_b_.size() == 1; }));
-  EXPECT_EQ(heard_b_[0], "good");
+  ASSERT_TRUE(run_until([&] { return received_b_.size() == 1; }));
+  EXPECT_EQ(received_b_[0], "good");
 }
 
-TEST_F(PeersTest, WhatComesInPiecesIsOneFrame) {
+TEST_F(PeerTransportTest, WhatComesInPiecesIsOneFrame) {
   std::string bytes = PeerTransport::encode_frame("first") + PeerTransport::encode_frame("second"),
               in, frame;
   std::vector<std::string> frames;
