--- a/src/core/config/check.cpp
+++ b/src/core/config/check.cpp
@@ -59,15 +59,15 @@
   void check(const std::string& name, const Limit& limit) {
     std::string section = "limit " + name;
     if (limit.rate == 0 && limit.in_flight == 0)
-      report(section, "", "limit '" + name + "' limits nothing", "give it a 'rate' or 'in_flight'");
+      report(section, "", "limit '" + name + "' has no effect", "give it a 'rate' or 'in_flight'");
     if (limit.rate == 0 && limit.burst > 0)
-      report(section, "burst", "a burst without a rate", "add 'rate' or leave 'burst' out");
+      report(section, "burst", "burst without a rate", "add 'rate' or leave 'burst' out");
   }
 
-  /// Two routes that match the same requests: the second one is never taken.
+  /// Of two routes that match the same requests, the second one is never taken.
   void check_duplicate_routes() {
     std::map<std::tuple<std::string, std::string, std::string, std::string>, std::string> seen;
-    // In the order in which the files have them, so that the later one is told.
+    // In file order, so that the later one is reported.
     std::vector<std::pair<Position, std::string>> order;
     for (const auto& [name, route] : m_.routes)
       order.emplace_back(positions_.at("route " + name).at, name);
@@ -86,7 +86,7 @@
     }
   }
 
-  /// A limit inside a tighter one of the same requests is never reached.
+  /// A limit is never reached if the same requests are subject to a tighter one.
   void check_reachable(const std::string& section, const std::string& inner,
                        const std::string& outer, const std::string& of) {
     if (inner.empty() || outer.empty() || inner == outer) return;
@@ -104,11 +104,12 @@
     std::set<std::string> pools{route.pool};
     for (const std::string& fallback : route.fallbacks)
       if (!pools.insert(fallback).second)
-        report(section, "fallbacks", "pool '" + fallback + "' stands twice in route '" + name + "'",
+        report(section, "fallbacks",
+               "pool '" + fallback + "' is listed twice in route '" + name + "'",
                "a fallback must be another pool");
     if (route.failback_at > route.failover_at)
       report(section, "fall_back_at",
-             "'fall_back_at' is above 'fall_over_at': it would go to and fro", "it must be lower");
+             "'fall_back_at' is above 'fall_over_at': traffic would oscillate", "it must be lower");
     if (route.fallbacks.empty()) {
       auto position = positions_.find(section);
       for (const char* key : {"fall_over_at", "fall_back_at", "spill"})
@@ -123,7 +124,7 @@
     if (!route.tenant.empty())
       check_reachable(section, route.limit, m_.tenants.at(route.tenant).limit,
                       "tenant '" + route.tenant + "'");
-    // A budget can only say no: one that allows more than the class's own attempts says it never.
+    // A budget only limits: one that allows more retries than the class makes has no effect.
     const std::string& budget =
         route.budget.empty() ? m_.pools.at(route.pool).budget : route.budget;
     if (!budget.empty() && !route.type.empty()) {
--- a/src/core/config/check.hpp
+++ b/src/core/config/check.hpp
@@ -1,5 +1,5 @@
-// What only the whole model shows: routes that nothing reaches, shares that don't add up, limits
-// and budgets without effect.
+// Checks that need the complete model: unreachable routes, shares that don't add up, limits and
+// budgets without effect.
 #pragma once
 
 #include <map>
@@ -9,7 +9,7 @@
 
 namespace violetusher::core::config {
 
-/// Where a section stands, and its settings.
+/// The position of a section and of the values of its settings.
 struct SectionPosition {
   Position at;
   std::uint32_t length = 1;
--- a/src/core/config/compile.cpp
+++ b/src/core/config/compile.cpp
@@ -1,5 +1,5 @@
-// From trees to a model: includes, sections and keys by the schema, references. What needs the
-// whole model is in check.cpp.
+// Compiles parse trees to a model: includes, sections and keys according to the schema, references.
+// Checks that need the complete model are in check.cpp.
 #include <algorithm>
 #include <set>
 
@@ -12,7 +12,7 @@
 
 constexpr std::size_t kMaxIncludeDepth = 16;
 
-/// One section with its settings, typed.
+/// A section with its settings, matched to its rule.
 struct Record {
   const Node* node = nullptr;
   const SectionRule* rule = nullptr;
@@ -25,7 +25,7 @@
   Compiler(Compiled& out, const Loader& load) : out_(out), load_(load) {}
 
   void run(const std::string& name, const std::string& text) {
-    // Trees must not move while nodes of them are pointed at.
+    // The trees must not be reallocated while there are pointers to their nodes.
     out_.trees.reserve(kMaxFiles + 1);
     read(name, text);
     for (const Node* node : order_) section(*node, nullptr, records_);
@@ -49,14 +49,14 @@
       if (node.kind == Node::Kind::kVersion) {
         double version = 0;
         if (!first || file != 0)
-          out_.diagnostics.add(node.at, "'version' stands only at the top of the first file", "",
-                               node.length);
+          out_.diagnostics.add(node.at, "'version' is only allowed at the top of the first file",
+                               "", node.length);
         else if (!parse_quantity(Type::kInteger, node.value.text, version) || version != 1)
-          out_.diagnostics.add(node.value.at, "version " + node.value.text + " is not known",
-                               "this program reads version 1", node.value.length);
+          out_.diagnostics.add(node.value.at, "version " + node.value.text + " is not supported",
+                               "this program supports version 1", node.value.length);
       } else if (first && file == 0) {
         out_.diagnostics.add(node.at, "the first line must be 'version 1;'",
-                             "so that a later language is told apart", node.length);
+                             "it gives the version of the file format", node.length);
       }
       first = false;
       if (node.kind == Node::Kind::kInclude)
@@ -64,8 +64,8 @@
       else if (node.kind == Node::Kind::kBlock)
         order_.push_back(&node);
       else if (node.kind == Node::Kind::kSetting)
-        out_.diagnostics.add(node.at, "'" + node.key + "' stands outside of a section",
-                             sections_hint(), node.length);
+        out_.diagnostics.add(node.at, "'" + node.key + "' is outside of a section", sections_hint(),
+                             node.length);
     }
     if (first && file == 0 && out_.diagnostics.none())
       out_.diagnostics.add({file, 1, 1}, "the file is empty", "begin with 'version 1;'");
@@ -82,17 +82,17 @@
       std::string loop;
       for (; at != chain_.end(); ++at) loop += *at + " -> ";
       return report("include loop: " + loop + loaded.name,
-                    "a file can't include itself, also not by others");
+                    "a file can't include itself, directly or indirectly");
     }
     if (!loaded.error.empty())
       return report("cannot include \"" + node.value.text + "\": " + loaded.error, "");
     if (!included_.insert(loaded.name).second)
-      return report("\"" + node.value.text + "\" is included twice", "its names would stand twice");
-    if (chain_.size() >= kMaxIncludeDepth)
-      return report("includes inside one another more than 16 deep", "");
+      return report("\"" + node.value.text + "\" is included twice",
+                    "its names would be defined twice");
+    if (chain_.size() >= kMaxIncludeDepth) return report("includes nested more than 16 deep", "");
     if (out_.sources.count() >= kMaxFiles) return report("more than 256 files", "");
     if (out_.sources.bytes() + loaded.text.size() > kMaxTotalBytes)
-      return report("more than 16 MiB in all files together", "");
+      return report("more than 16 MiB in all files", "");
     read(loaded.name, loaded.text);
   }
 
@@ -115,7 +115,8 @@
       auto suggestion = closest_match(node.key, kinds);
       out_.diagnostics.add(
           node.at,
-          "no section '" + node.key + "'" + (parent ? " inside '" + parent->node->key + "'" : ""),
+          "unknown section '" + node.key + "'" +
+              (parent ? " inside '" + parent->node->key + "'" : ""),
           suggestion.empty() ? sections_hint() : "did you mean '" + std::string(suggestion) + "'?",
           node.length);
       return;
@@ -156,10 +157,10 @@
         known += (known.empty() ? "" : ", ") + std::string(k.key);
       }
       auto suggestion = closest_match(node.key, keys);
-      // The key that was meant is not missing as well.
+      // The suggested key is not reported as missing in addition.
       if (!suggestion.empty()) invalid_keys_.insert({record.node, std::string(suggestion)});
       out_.diagnostics.add(
-          node.at, "no key '" + node.key + "' in a " + record.node->key,
+          node.at, "unknown key '" + node.key + "' in a " + record.node->key,
           suggestion.empty() ? "keys: " + known : "did you mean '" + std::string(suggestion) + "'?",
           node.length);
       return;
@@ -167,21 +168,20 @@
     auto [at, fresh] = record.settings.emplace(node.key, &node);
     if (!fresh) {
       out_.diagnostics.add(node.at, "'" + node.key + "' is set twice in this " + record.node->key,
-                           "first in line " + std::to_string(at->second->at.line), node.length);
+                           "first set in line " + std::to_string(at->second->at.line), node.length);
       return;
     }
     bool good = true;
     if (node.value.kind == Value::Kind::kList) {
       if (!rule->list) {
-        out_.diagnostics.add(node.value.at, "'" + node.key + "' takes one value, no list",
+        out_.diagnostics.add(node.value.at, "'" + node.key + "' takes one value, not a list",
                              node.key + " = " + std::string(example(rule->type)) + ";",
                              node.value.length);
         good = false;
       }
       if (rule->list && node.value.items.empty()) {
-        out_.diagnostics.add(node.value.at, "an empty list",
-                             "leave '" + node.key + "' out where anything will do",
-                             node.value.length);
+        out_.diagnostics.add(node.value.at, "empty list",
+                             "leave '" + node.key + "' out to match anything", node.value.length);
         good = false;
       }
       for (std::size_t k = 0; good && k < node.value.items.size(); ++k)
@@ -200,7 +200,7 @@
       out_.diagnostics.add(v.at, what, hint, v.length);
       return false;
     };
-    std::string expected = "'" + key + "' wants " + std::string(describe(rule.type));
+    std::string expected = "'" + key + "' must be " + std::string(describe(rule.type));
     std::string shown = key + " = " + std::string(example(rule.type)) + ";";
     switch (rule.type) {
       case Type::kName:
@@ -225,9 +225,9 @@
       bool bare =
           v.kind == Value::Kind::kNumber && parse_quantity(Type::kInteger, v.text, quantity);
       if (bare && rule.type != Type::kInteger)
-        return wrong(
-            "'" + v.text + "' has no unit: '" + key + "' wants " + std::string(describe(rule.type)),
-            shown);
+        return wrong("'" + v.text + "' has no unit: '" + key + "' must be " +
+                         std::string(describe(rule.type)),
+                     shown);
       return wrong(expected, shown);
     }
     double high = rule.type == Type::kPercent ? std::min(rule.high, 1.0) : rule.high;
@@ -236,7 +236,7 @@
                        format_quantity(rule.type, high),
                    "");
     if (rule.type == Type::kRate && quantity <= 0)
-      return wrong("a rate of 0 lets nothing through", "leave '" + key + "' out for no limit");
+      return wrong("a rate of 0 admits no requests", "leave '" + key + "' out for no limit");
     return true;
   }
 
@@ -270,7 +270,7 @@
         out_.diagnostics.add(
             record.node->name_at,
             std::string(record.rule->kind) + " '" + record.node->name + "' is defined twice",
-            "first at " + out_.sources.name(at->second->at.file) + ":" +
+            "first defined at " + out_.sources.name(at->second->at.file) + ":" +
                 std::to_string(at->second->at.line),
             record.node->name_length);
     }
@@ -359,34 +359,34 @@
               (" " + std::string(choices) + " ").find(" " + value + " ") != std::string::npos)
             return;
           const Value* v = r.find(key);
-          out_.diagnostics.add(v->at, "'" + value + "' is no " + key + " of a log",
+          out_.diagnostics.add(v->at, "'" + value + "' is not a valid " + key + " of a log",
                                "one of: " + std::string(choices), v->length);
         };
         check_choice("format", l.format, "text logfmt json");
         check_choice("level", r.text("level"), "info warn error");
         if (m.logs.size() > 1)
-          out_.diagnostics.add(record.node->at, "a second log", "one process has one",
+          out_.diagnostics.add(record.node->at, "more than one log", "a process has at most one",
                                record.node->length);
       }
       if (kind == "recorder") {
         m.recorders[name] = {r.text("file"), r.integer("size", 0)};
         if (m.recorders.size() > 1)
-          out_.diagnostics.add(record.node->at, "a second recorder", "one process has one",
-                               record.node->length);
+          out_.diagnostics.add(record.node->at, "more than one recorder",
+                               "a process has at most one", record.node->length);
       }
       if (kind == "audit") {
         Audit a;
         m.audits[name] = {r.text("folder"), r.integer("size", a.size), r.integer("keep", a.keep),
                           r.integer("every", a.every)};
         if (m.audits.size() > 1)
-          out_.diagnostics.add(record.node->at, "a second audit", "one process has one",
+          out_.diagnostics.add(record.node->at, "more than one audit", "a process has at most one",
                                record.node->length);
       }
       if (kind == "peer") m.peers[name] = {r.text("address"), r.text("hall")};
       if (kind == "rollout") {
         m.rollouts[name] = {r.text("file"), r.integer("spread", Rollout().spread)};
         if (m.rollouts.size() > kMaxRollouts)
-          out_.diagnostics.add(record.node->at, "too many roll-outs",
+          out_.diagnostics.add(record.node->at, "too many rollouts",
                                "at most " + std::to_string(kMaxRollouts), record.node->length);
       }
       if (kind == "ledger") {
@@ -401,10 +401,10 @@
              r.integer("trust_after", l.trust_after)};
         if (l.voters % 2 == 0)
           out_.diagnostics.add(r.find("keepers")->at, "an even number of keepers",
-                               "one more bears no more losses; 1, 3, 5 or 7",
+                               "it tolerates no more failures than one less; use 1, 3, 5 or 7",
                                r.find("keepers")->length);
         if (m.ledgers.size() > 1)
-          out_.diagnostics.add(record.node->at, "a second ledger", "one process has one",
+          out_.diagnostics.add(record.node->at, "more than one ledger", "a process has at most one",
                                record.node->length);
       }
       if (kind == "class")
@@ -414,7 +414,7 @@
       if (kind == "limit") {
         Limit l{r.quantity("rate", 0), r.integer("burst", 0), r.integer("in_flight", 0),
                 r.integer("come_back", 0)};
-        // A tenth of a second's worth where nothing else is said, at least one.
+        // The default burst is a tenth of a second's worth of the rate, and at least 1.
         if (l.rate > 0 && !r.find("burst"))
           l.burst = std::max<std::int64_t>(1, static_cast<std::int64_t>(l.rate / 10));
         m.limits[name] = l;
@@ -436,7 +436,7 @@
             p.shares[tenant] = part;
           }
         if (record.children.size() > 1)
-          out_.diagnostics.add(record.children[1].node->at, "'shares' stands twice in this pool",
+          out_.diagnostics.add(record.children[1].node->at, "'shares' is given twice in this pool",
                                "", record.children[1].node->length);
         m.pools[name] = p;
       }
@@ -462,7 +462,7 @@
   std::vector<Record> records_;
   std::map<std::string, std::map<std::string, const Node*>> names_;
   std::set<std::pair<const Node*, std::string>>
-      invalid_keys_;  // keys that were there but can't be used
+      invalid_keys_;  // keys that are present with an invalid value
   SectionPositions positions_;
 };
 
--- a/src/core/config/diff.cpp
+++ b/src/core/config/diff.cpp
@@ -21,7 +21,7 @@
     add(format_quantity(Type::kRate, l.rate) + " with bursts of " + std::to_string(l.burst));
   if (l.in_flight > 0) add(std::to_string(l.in_flight) + " in flight");
   if (l.retry_after > 0)
-    add("come back after " + format_quantity(Type::kDuration, static_cast<double>(l.retry_after)));
+    add("retry after " + format_quantity(Type::kDuration, static_cast<double>(l.retry_after)));
   return text.empty() ? "none" : text;
 }
 
@@ -52,7 +52,7 @@
   std::vector<std::string> blocks;
   for (auto b : p.blocks) blocks.push_back(std::to_string(b));
   add("blocks", blocks);
-  if (text.empty()) text = "the whole list";
+  if (text.empty()) text = "the full host list";
   for (const auto& [tenant, share] : p.shares)
     text += "; " + tenant + " " + format_quantity(Type::kPercent, share);
   return text + "; limit " + limit_text(m, p.limit) + "; budget " + budget_text(m, p.budget);
@@ -64,12 +64,12 @@
   for (const auto& [name, item] : before) {
     auto it = after.find(name);
     if (it == after.end())
-      out.push_back({kind, name, "goes away (was: " + text(item, true) + ")", {}});
+      out.push_back({kind, name, "is removed (was: " + text(item, true) + ")", {}});
     else if (text(item, true) != text(it->second, false))
       out.push_back({kind, name, text(it->second, false) + " instead of " + text(item, true), {}});
   }
   for (const auto& [name, item] : after)
-    if (!before.count(name)) out.push_back({kind, name, "is new: " + text(item, false), {}});
+    if (!before.count(name)) out.push_back({kind, name, "is added: " + text(item, false), {}});
 }
 
 }  // namespace
@@ -109,7 +109,7 @@
   std::string text = "pool {" + pool_text(model, r.pool) + "}";
   for (const std::string& f : r.fallbacks) text += ", then {" + pool_text(model, f) + "}";
   if (!r.fallbacks.empty())
-    text += " over at " + format_quantity(Type::kPercent, r.failover_at) + ", back at " +
+    text += " failover at " + format_quantity(Type::kPercent, r.failover_at) + ", failback at " +
             format_quantity(Type::kPercent, r.failback_at) + ", spill " +
             format_quantity(Type::kPercent, r.spill);
   return text + ", limit " + limit_text(model, r.limit) + ", budget " +
@@ -118,8 +118,8 @@
 
 std::vector<Change> diff(const Model& before, const Model& after) {
   std::vector<Change> out;
-  // A route's way changes only at what some route of either model names: for each such match the
-  // requests that are just of it are looked up in both.
+  // Routing can change only for values that some route of either model names. For each combination
+  // of them, a request with exactly these values is looked up in both models.
   Routing old_routing(before), new_routing(after);
   std::set<std::string> listeners{""}, tenants{""}, types{""}, prefixes{""};
   for (const auto* routing : {&old_routing, &new_routing})
@@ -134,8 +134,8 @@
     for (const auto& [name, item] : m->tenants) tenants.insert(name);
     for (const auto& [name, item] : m->classes) types.insert(name);
   }
-  // Combinations are told where they differ from what is told for a less specific one, so that one
-  // change gives one line. More than this many are told by the routes' own matches alone.
+  // A combination is reported only if its difference isn't covered by a less specific one, so that
+  // one change gives one line. Beyond this number, only the routes' own matches are compared.
   constexpr std::size_t kMaxCombinations = 200'000;
   std::vector<RouteMatch> matches;
   if (listeners.size() * tenants.size() * types.size() * prefixes.size() <= kMaxCombinations) {
@@ -200,9 +200,9 @@
     auto text = [](const Model& m) {
       if (m.ledgers.empty()) return std::string("off");
       const Ledger& l = m.ledgers.begin()->second;
-      return l.fleet + " in " + l.folder + ", " + (l.may_vote ? "may keep" : "follows") + ", " +
-             std::to_string(l.voters) + " keepers, " + std::to_string(m.peers.size()) + " peers, " +
-             std::to_string(m.rollouts.size()) + " files rolled out";
+      return l.fleet + " in " + l.folder + ", " + (l.may_vote ? "may vote" : "follower") + ", " +
+             std::to_string(l.voters) + " voters, " + std::to_string(m.peers.size()) + " peers, " +
+             std::to_string(m.rollouts.size()) + " rolled-out files";
     };
     out.push_back(
         {"ledger", "ledger", text(before) + " -> " + text(after) + " (at the next start)", {}});
@@ -215,10 +215,8 @@
              format_quantity(Type::kDuration, static_cast<double>(a.keep)) + ", every " +
              format_quantity(Type::kDuration, static_cast<double>(a.every));
     };
-    out.push_back({"audit",
-                   "audit's trail",
-                   text(before) + " -> " + text(after) + " (at the next start)",
-                   {}});
+    out.push_back(
+        {"audit", "audit trail", text(before) + " -> " + text(after) + " (at the next start)", {}});
   }
   if (before.recorders != after.recorders) {
     auto text = [](const Model& m) {
@@ -247,7 +245,7 @@
             add(type, "class", request.type);
         text += "routes of " + (by.empty() ? std::string("anybody") : by) + ": " +
                 (route == RouteTable::kNone
-                     ? "none whose prefix the key has"
+                     ? "none with a matching prefix"
                      : "'" + routing.names[route] + "'" +
                            (routing.matches[route].prefix.empty()
                                 ? ""
@@ -258,7 +256,7 @@
   const Route& r = model.routes.at(routing.names[found]);
   text += "pool '" + r.pool + "': " + pool_text(model, r.pool) + "\n";
   for (const std::string& f : r.fallbacks)
-    text += "else pool '" + f + "': " + pool_text(model, f) + "\n";
+    text += "fallback pool '" + f + "': " + pool_text(model, f) + "\n";
   auto limit = [&](const std::string& of, const std::string& name) {
     if (!name.empty())
       text += "limit of the " + of + " '" + name + "': " + limit_text(model, name) + "\n";
--- a/src/core/config/diff.hpp
+++ b/src/core/config/diff.hpp
@@ -1,4 +1,5 @@
-// What two versions of a configuration would do differently, and which route one request takes.
+// Differences in effect between two versions of a configuration, and the route that a request
+// takes.
 #pragma once
 
 #include <string>
@@ -13,16 +14,16 @@
 struct Change {
   std::string kind;     ///< "route", "pool", "limit", "budget", "class", "tenant", "listener",
                         ///< "recorder"
-  std::string subject;  ///< whom it is about: "class price-lookup, prefix \"a\""
+  std::string subject;  ///< what is affected: "class price-lookup, prefix \"a\""
   std::string what;     ///< "goes to pool b instead of a"
-  RouteMatch match;     ///< of kind "route": the requests that are concerned
+  RouteMatch match;     ///< of kind "route": the requests that are affected
 };
 
-/// Empty where nothing changes in effect: names of limits, budgets, routes and pools that are only
-/// renamed, orders and ways of writing don't count.
+/// Empty if nothing changes in effect: renamed limits, budgets, routes and pools, the order of
+/// sections, and formatting are not differences.
 std::vector<Change> diff(const Model& before, const Model& after);
 
-/// The routes of a model as a table; numbers are places in `names`.
+/// The routes of a model as a table, whose numbers are indexes into `names`.
 struct Routing {
   explicit Routing(const Model& model);
   /// The route's name, or nullptr.
@@ -32,13 +33,14 @@
   RouteTable table;
 };
 
-/// What becomes of a request by a route, free of names: pool's members, fallbacks, limits, budget.
+/// The effect of a route on a request, without names: members of its pools, fallbacks, limits and
+/// budget.
 std::string effect_of(const Model& model, const std::string* route);
 
-/// Whom a match is about, for people.
+/// A readable description of the requests that match.
 std::string subject_of(const RouteMatch& match);
 
-/// The route taken, step by step, for people.
+/// A readable step-by-step explanation of the route taken.
 std::string explain(const Model& model, const RouteRequest& request);
 
 }  // namespace violetusher::core::config
--- a/src/core/config/lexer.cpp
+++ b/src/core/config/lexer.cpp
@@ -3,7 +3,7 @@
 namespace violetusher::core::config {
 namespace {
 
-constexpr std::size_t kMaxTokenBytes = 4096;  // bytes of one token
+constexpr std::size_t kMaxTokenBytes = 4096;
 
 bool starts_name(char c) { return (c >= 'a' && c <= 'z') || (c >= 'A' && c <= 'Z') || c == '_'; }
 bool digit(char c) { return c >= '0' && c <= '9'; }
@@ -40,7 +40,8 @@
     }
   }
 
-  /// White space and comments; a comment on the line of the last token is that one's.
+  /// Skips white space and collects comments. A comment on the line of the last token is attached
+  /// to that token, any other to the next one.
   void skip() {
     while (offset_ < text_.size()) {
       char c = text_[offset_];
@@ -54,7 +55,7 @@
           bad |= text_[offset_] == '\0';
           step();
         }
-        if (bad) diagnostics_.add(at, "a zero byte in a comment", "operator files are plain text");
+        if (bad) diagnostics_.add(at, "NUL byte in a comment", "operator files are plain text");
         std::string comment(text_.substr(begin, offset_ - begin));
         while (!comment.empty() &&
                (comment.back() == ' ' || comment.back() == '\r' || comment.back() == '\t'))
@@ -117,7 +118,7 @@
              (number ? in_number(text_[offset_]) : in_name(text_[offset_])))
         step();
       if (offset_ - begin > kMaxTokenBytes) {
-        diagnostics_.add(at, "a word of " + std::to_string(offset_ - begin) + " bytes",
+        diagnostics_.add(at, "word of " + std::to_string(offset_ - begin) + " bytes",
                          "4096 at most");
         return;
       }
@@ -125,16 +126,16 @@
            std::string(text_.substr(begin, offset_ - begin)), offset_ - begin);
       return;
     }
-    // A run of what can't begin a token gives one message.
+    // Consecutive characters that can't begin a token give one message.
     while (offset_ < text_.size() && !starts_name(text_[offset_]) && !digit(text_[offset_]) &&
            std::string_view(" \t\r\n#{}=;,[]\"").find(text_[offset_]) == std::string_view::npos)
       step();
     auto byte = static_cast<unsigned char>(c);
-    std::string shown = byte == 0                  ? "a zero byte"
+    std::string shown = byte == 0                  ? "a NUL byte"
                         : byte < 32 || byte >= 127 ? "byte " + std::to_string(byte)
                                                    : std::string("'") + c + "'";
-    diagnostics_.add(at, shown + " has no meaning here",
-                     "texts stand in quotes, comments behind '#'",
+    diagnostics_.add(at, shown + " is not allowed here",
+                     "strings need double quotes, comments begin with '#'",
                      static_cast<std::uint32_t>(offset_ - begin));
   }
 
@@ -150,21 +151,21 @@
         step();
         c = text_[offset_];
       } else if (c == '\\') {
-        diagnostics_.add(at_, "'\\' before something else than '\"' or '\\'",
-                         "write '\\\\' for one '\\'");
+        diagnostics_.add(at_, "'\\' must be followed by '\"' or '\\'",
+                         "write '\\\\' for a literal '\\'");
       } else if (static_cast<unsigned char>(c) < 32) {
-        diagnostics_.add(at_, "a control character in a text", "operator files are plain text");
+        diagnostics_.add(at_, "control character in a string", "operator files are plain text");
       }
       value += c;
       step();
     }
     if (offset_ == text_.size() || text_[offset_] == '\n') {
-      diagnostics_.add(at, "a text that does not end on its line", "close it with '\"'");
+      diagnostics_.add(at, "unterminated string", "close it with '\"'");
     } else {
       step();
     }
     if (value.size() > kMaxTokenBytes) {
-      diagnostics_.add(at, "a text of " + std::to_string(value.size()) + " bytes", "4096 at most");
+      diagnostics_.add(at, "string of " + std::to_string(value.size()) + " bytes", "4096 at most");
       value.resize(kMaxTokenBytes);
     }
     push(Token::Kind::kText, at, std::move(value), offset_ - begin);
--- a/src/core/config/moved_keys.cpp
+++ b/src/core/config/moved_keys.cpp
@@ -10,7 +10,7 @@
 namespace violetusher::core::config {
 namespace {
 
-/// The home of each sample key in a pool, empty where it has none.
+/// The preferred server of each sample key in a pool; empty if there is none.
 std::vector<std::string> preferred_servers(const Pool& pool, const std::vector<Server>& list,
                                            const std::vector<std::string>& keys) {
   std::vector<Server> members;
@@ -35,7 +35,7 @@
 std::vector<MovedKeys> moved_keys(const Model& before, const Model& after,
                                   const std::vector<Server>& list, int keys) {
   Routing old_routing(before), new_routing(after);
-  // The requests that some route of either names, the widest first.
+  // The matches of the routes of both models, least specific first.
   std::vector<RouteMatch> matches = old_routing.matches;
   matches.insert(matches.end(), new_routing.matches.begin(), new_routing.matches.end());
   auto named = [](const RouteMatch& r) {
--- a/src/core/config/moved_keys.hpp
+++ b/src/core/config/moved_keys.hpp
@@ -1,5 +1,5 @@
-// Which share of keys another server would get by a new version of an operator file, given the list
-// of servers: worked out by the decision module's own home of each key.
+// The share of keys that a new version of an operator file moves to another server, for a given
+// host list, computed with the decision module's preferred server of each key.
 #pragma once
 
 #include <string>
@@ -10,15 +10,16 @@
 
 namespace violetusher::core::config {
 
+/// The keys that move between two pools.
 struct MovedKeys {
-  RouteMatch match;           ///< the widest requests that go this way
+  RouteMatch match;           ///< the least specific match with this change
   std::string before, after;  ///< pools; empty = no route
-  double share = 0;           ///< of keys whose server differs, 0 to 1
-  double nobody = 0;          ///< of keys that have none afterwards, 0 to 1
+  double share = 0;           ///< fraction of keys whose server differs
+  double nobody = 0;          ///< fraction of keys without a server afterwards
 };
 
-/// For every two pools that requests go to before and after, the share of `keys` sample keys that
-/// move, where any does. Draining servers of the list get no keys, as in the router.
+/// For each pair of pools that requests go to before and after: the share of `keys` sample keys
+/// that move, if any do. Draining servers get no keys, as in the router.
 std::vector<MovedKeys> moved_keys(const Model& before, const Model& after,
                                   const std::vector<Server>& list, int keys);
 
--- a/src/core/config/parser.cpp
+++ b/src/core/config/parser.cpp
@@ -3,7 +3,7 @@
 namespace violetusher::core::config {
 namespace {
 
-constexpr int kMaxDepth = 8;  // blocks or lists inside one another
+constexpr int kMaxDepth = 8;  // of nested blocks
 
 class Parser {
  public:
@@ -19,7 +19,7 @@
     Tree tree;
     while (!is(Token::Kind::kEnd) && !diagnostics_.full()) {
       if (is(Token::Kind::kClose)) {
-        diagnostics_.add(current().at, "'}' closes nothing", "");
+        diagnostics_.add(current().at, "unmatched '}'", "");
         ++at_;
         continue;
       }
@@ -46,7 +46,7 @@
   }
 
   void expected(const std::string& what, const std::string& hint = "") {
-    // Of what is missing it helps to point behind the last thing that was there.
+    // A missing token is reported just behind the token before it.
     const Token& t = current();
     if (lexer_failed_ && t.kind == Token::Kind::kEnd) return;
     bool missing = what == "';'" && at_ > 0;
@@ -54,14 +54,14 @@
       const Token& before = tokens_[at_ - 1];
       Position end = before.at;
       end.column += before.length;
-      diagnostics_.add(end, "';' is missing", "each setting ends with ';'");
+      diagnostics_.add(end, "missing ';'", "each setting ends with ';'");
     } else {
       diagnostics_.add(t.at, "expected " + what + ", found " + describe_token(t), hint,
                        std::max(1u, t.length));
     }
   }
 
-  /// Goes on behind the next ';' or before the '}' that closes this block.
+  /// Continues behind the next ';', or at the '}' that closes this block.
   void recover() {
     int depth = 0;
     while (!is(Token::Kind::kEnd)) {
@@ -88,11 +88,12 @@
     bool next_line = at_ > 0 && current().at.line > tokens_[at_ - 1].at.line;
     expected("';'");
     if (!next_line && !is(Token::Kind::kClose)) recover();
-    return true;  // what was set is meant
+    return true;  // the setting itself is complete
   }
 
-  /// Comments in the midst of a node go before it: none is lost, and the canonical form has no
-  /// place there. `last` is the node's last token, whose own comment behind it stays there.
+  /// Moves comments inside a node to the lines before it, since the canonical form has no place for
+  /// them within the node and none may be lost. `last` is the node's last token, which keeps its
+  /// trailing comment.
   void collect_comments(Node& node, std::size_t from, std::size_t last) {
     for (std::size_t k = from; k <= last && k < tokens_.size(); ++k) {
       if (k > from)
@@ -127,14 +128,13 @@
     ++at_;
     if (depth == 0 && node.key == "include" && !is(Token::Kind::kEquals)) {
       node.kind = Node::Kind::kInclude;
-      if (!is(Token::Kind::kText))
-        return fail("a file's name in quotes", "include \"pools.conf\";");
+      if (!is(Token::Kind::kText)) return fail("a quoted file name", "include \"pools.conf\";");
       node.value = scalar();
       return semicolon(node);
     }
     if (depth == 0 && node.key == "version" && !is(Token::Kind::kEquals)) {
       node.kind = Node::Kind::kVersion;
-      if (!is(Token::Kind::kNumber)) return fail("the version's number", "version 1;");
+      if (!is(Token::Kind::kNumber)) return fail("a version number", "version 1;");
       node.value = scalar();
       return semicolon(node);
     }
@@ -159,7 +159,7 @@
     if (!is(Token::Kind::kOpen))
       return fail("'=' or '{'", "settings are KEY = VALUE; and sections KIND NAME { ... }");
     if (depth + 1 > kMaxDepth) {
-      diagnostics_.add(current().at, "sections inside one another more than 8 deep", "");
+      diagnostics_.add(current().at, "sections nested more than 8 deep", "");
       recover();
       return false;
     }
@@ -179,7 +179,7 @@
     node.closing_comments = current().comments;
     node.closing_trailing_comment = current().trailing_comment;
     ++at_;
-    if (is(Token::Kind::kSemicolon)) {  // many write one; it means nothing
+    if (is(Token::Kind::kSemicolon)) {  // a common mistake, which is accepted
       const Token& t = current();
       node.closing_comments.insert(node.closing_comments.end(), t.comments.begin(),
                                    t.comments.end());
@@ -217,14 +217,14 @@
       return true;
     }
     if (!is(Token::Kind::kOpenList)) {
-      expected("a value", "a number with its unit, a name, a text in quotes or a list [..]");
+      expected("a value", "a number with a unit, a name, a quoted string or a list [..]");
       return false;
     }
     value.kind = Value::Kind::kList;
     value.at = current().at;
     value.length = 1;
     if (depth > 0) {
-      diagnostics_.add(current().at, "a list inside a list", "lists hold names, texts and numbers");
+      diagnostics_.add(current().at, "nested list", "lists hold names, strings and numbers");
       return false;
     }
     ++at_;
@@ -247,7 +247,7 @@
   std::vector<Token> tokens_;
   std::size_t at_ = 0;
   Diagnostics& diagnostics_;
-  bool lexer_failed_;  // the lexer left something out: that the file ends too early is no wonder
+  bool lexer_failed_;  // the lexer skipped input, so an early end of the file isn't reported again
 };
 
 }  // namespace
--- a/src/core/config/schema.cpp
+++ b/src/core/config/schema.cpp
@@ -132,24 +132,24 @@
     case Type::kName:
       return "a name";
     case Type::kText:
-      return "a text in quotes";
+      return "a quoted string";
     case Type::kInteger:
       return "a whole number";
     case Type::kDuration:
-      return "a duration with its unit";
+      return "a duration with a unit";
     case Type::kSize:
-      return "a size with its unit";
+      return "a size with a unit";
     case Type::kRate:
-      return "a rate with its unit";
+      return "a rate with a unit";
     case Type::kPercent:
     case Type::kShare:
       return "a percentage";
     case Type::kFlag:
       return "on or off";
     case Type::kAddress:
-      return "a loopback address in quotes";
+      return "a quoted loopback address";
     case Type::kPattern:
-      return "a text in quotes, '*' for anything";
+      return "a quoted string with '*' wildcards";
   }
   return "";
 }
@@ -191,7 +191,7 @@
     if (u.name != unit) continue;
     if (type == Type::kInteger && (value != std::floor(value) || std::abs(value) > 9e15))
       return false;
-    // Durations and sizes are whole microseconds and bytes.
+    // Durations and sizes are rounded to whole microseconds and bytes.
     quantity = type == Type::kDuration || type == Type::kSize ? std::round(value * u.factor)
                                                               : value * u.factor;
     return true;
@@ -202,19 +202,19 @@
 std::string format_quantity(Type type, double quantity) {
   auto units = units_of(type);
   const Unit* best = &units[0];
-  // The largest unit in which it is a whole number; rates stay by the second, as people compare
-  // them.
+  // The largest unit that gives a whole number; rates stay per second, which makes them easy to
+  // compare.
   if (type == Type::kDuration || type == Type::kSize)
     for (const Unit& u : units)
       if (quantity != 0 && std::fmod(quantity, u.factor) == 0) best = &u;
   double scaled = quantity / best->factor;
   if (type == Type::kPercent || type == Type::kShare) scaled = quantity * 100;
-  // The shortest digits that are read back as the same figure: units must not eat bits.
+  // The fewest digits that parse back to the same quantity: scaling by a unit must not lose bits.
   char text[64];
   for (int digits = 6; digits <= 17; ++digits) {
     std::snprintf(text, sizeof text, "%.*g", digits, scaled);
     double back = 0;
-    // An exponent would not be read as part of a number with a unit by everybody: written out.
+    // Written without an exponent, which not every reader accepts in a number with a unit.
     if (std::string_view(text).find('e') != std::string_view::npos)
       std::snprintf(text, sizeof text, "%.0f", scaled);
     if (parse_quantity(type, text + std::string(best->name), back) && back == quantity) break;
@@ -224,7 +224,7 @@
 
 std::string_view closest_match(std::string_view word, std::span<const std::string_view> known) {
   std::string_view best;
-  std::size_t limit = word.size() <= 3 ? 2 : 3;  // so many changes or more are no slip of a finger
+  std::size_t limit = word.size() <= 3 ? 2 : 3;  // edit distance of unrelated words
   for (std::string_view k : known) {
     std::vector<std::size_t> row(k.size() + 1);
     for (std::size_t j = 0; j <= k.size(); ++j) row[j] = j;
--- a/src/core/config/schema.hpp
+++ b/src/core/config/schema.hpp
@@ -1,6 +1,5 @@
-// What operator files may say: sections and keys as tables. A later subsystem adds its rows here
-// (or hands over a table of its own) and reads its records; lexer, parser, formatter and checks of
-// the general kind stay as they are.
+// The schema of operator files: tables of sections and keys. A new subsystem adds its rows here and
+// reads its records in compile.cpp; lexer, parser, formatter and generic checks need no change.
 #pragma once
 
 #include <span>
@@ -9,51 +8,54 @@
 
 namespace violetusher::core::config {
 
+/// The type of a key's value.
 enum class Type {
-  kName,      ///< a word
-  kText,      ///< in quotes
-  kInteger,   ///< without unit
+  kName,      ///< an identifier
+  kText,      ///< a quoted string
+  kInteger,   ///< without a unit
   kDuration,  ///< us, ms, s, min; microseconds
   kSize,      ///< B, KiB, MiB, GiB; bytes
-  kRate,      ///< /s, /ms, /min; a second
-  kPercent,   ///< 0% to 100%; a part
-  kShare,     ///< 0% and up
+  kRate,      ///< /s, /ms; per second
+  kPercent,   ///< 0% to 100%; as a fraction
+  kShare,     ///< 0% or more; as a fraction
   kFlag,      ///< on, off
   kAddress,   ///< "127.0.0.1:11211"
-  kPattern,   ///< text with '*'
+  kPattern,   ///< a quoted string with '*' wildcards
 };
 
+/// A key of a section.
 struct KeyRule {
   std::string_view key;
   Type type;
   bool list = false;
   bool required = false;
-  std::string_view refers = {};  ///< the kind of section that a name must be defined as
+  std::string_view refers = {};  ///< kind of section that the value must name
   double low = 0, high = 1e15;
 };
 
+/// A kind of section.
 struct SectionRule {
   std::string_view kind;
   std::span<const KeyRule> keys;
-  bool named = true;                  ///< `KIND NAME { }`, else `KIND { }`, once
-  std::string_view parent_kind = {};  ///< the kind of section that it stands in; empty = at the top
-  bool free_keys = false;  ///< any key, with values of keys[0]'s type; names of keys[0].refers
+  bool named = true;                  ///< `KIND NAME { }`, else `KIND { }` at most once
+  std::string_view parent_kind = {};  ///< kind of the enclosing section; empty = top level
+  bool free_keys = false;             ///< any key that names a keys[0].refers; values as keys[0]
 };
 
-/// The sections that this version knows.
+/// All kinds of sections.
 std::span<const SectionRule> sections();
 const SectionRule* find_section(std::string_view kind, std::string_view parent_kind);
 
-/// For messages: "a duration", and how one is written.
+/// For messages: a description of the type, and an example value.
 std::string_view describe(Type type);
 std::string_view example(Type type);
 
-/// The figure of a number with its unit in the type's own unit; false where it is none.
+/// Parses a number with a unit into the type's base unit; false if it is invalid.
 bool parse_quantity(Type type, std::string_view text, double& quantity);
-/// The shortest way to write a figure of that type.
+/// The shortest text that parses back to the same quantity.
 std::string format_quantity(Type type, double quantity);
 
-/// The known word nearest to a mistyped one; empty where none is near.
+/// The known word closest to a mistyped one by edit distance; empty if none is close.
 std::string_view closest_match(std::string_view word, std::span<const std::string_view> known);
 
 }  // namespace violetusher::core::config
--- a/src/core/config/source.cpp
+++ b/src/core/config/source.cpp
@@ -6,7 +6,7 @@
 namespace violetusher::core::config {
 namespace {
 
-constexpr std::size_t kMaxShownBytes = 100;  // bytes of a shown line
+constexpr std::size_t kMaxShownBytes = 100;  // of a source line in a message
 
 }  // namespace
 
--- a/src/core/config/source.hpp
+++ b/src/core/config/source.hpp
@@ -1,4 +1,4 @@
-// Configuration texts and what is wrong with them: positions, diagnostics, how they are shown.
+// Source texts of a configuration, and diagnostics with their positions.
 #pragma once
 
 #include <cstdint>
@@ -7,22 +7,24 @@
 
 namespace violetusher::core::config {
 
-/// Where something stands: the file's number in Sources, line and column from 1, columns in bytes.
+/// A position: the index of the file in Sources, line and column from 1, columns in bytes.
 struct Position {
   std::uint32_t file = 0, line = 1, column = 1;
   bool operator==(const Position&) const = default;
 };
 
+/// An error at a position.
 struct Diagnostic {
   Position at;
   std::uint32_t length = 1;  ///< bytes to underline
-  std::string what;          ///< what is wrong
-  std::string hint;          ///< what would be right; may be empty
-  /// What found it. One mistake often shows to all three; the earliest tells it best.
+  std::string what;          ///< the error
+  std::string hint;          ///< how to fix it; may be empty
+  /// The stage that found it. One mistake often causes errors in all three; the earliest describes
+  /// it best.
   enum class Stage { kLexer, kParser, kMeaning } stage = Stage::kMeaning;
 };
 
-/// Texts by number, in the order in which they were read.
+/// The source texts, by index in the order in which they were read.
 class Sources {
  public:
   std::uint32_t add(std::string name, std::string text);
@@ -30,9 +32,10 @@
   const std::string& text(std::uint32_t file) const { return files_[file].text; }
   std::size_t count() const { return files_.size(); }
   std::size_t bytes() const { return bytes_; }
-  /// "FILE:LINE:COLUMN: what", the line itself, a caret, the hint. Long lines are cut around it.
+  /// "FILE:LINE:COLUMN: what", the source line, a caret and the hint. Long lines are cut around the
+  /// position.
   std::string show(const Diagnostic& d) const;
-  /// The first line of that alone.
+  /// Only the first line of show().
   std::string brief(const Diagnostic& d) const;
 
  private:
@@ -43,7 +46,7 @@
   std::size_t bytes_ = 0;
 };
 
-/// Collects diagnostics up to a bound: a file of rubbish gives a page of them and no more.
+/// Collects diagnostics up to a limit, so that a file of garbage gives a page of them at most.
 class Diagnostics {
  public:
   static constexpr std::size_t kMaxShown = 100;
@@ -52,14 +55,14 @@
       list_.push_back({at, length, std::move(what), std::move(hint), stage_});
     ++count_;
   }
-  /// The stage of what is added from now on.
+  /// Sets the stage of diagnostics added from now on.
   void enter(Diagnostic::Stage stage) { stage_ = stage; }
   bool none() const { return count_ == 0; }
   std::size_t count() const { return count_; }
   bool full() const { return count_ >= kMaxShown; }
   const std::vector<Diagnostic>& list() const { return list_; }
-  /// By file, line and column; of each line only what its earliest stage found, and one word of the
-  /// lexer.
+  /// Sorts by file, line and column. Of each line only the errors of its earliest stage are kept,
+  /// and only one of the lexer.
   void finalize();
 
  private:
--- a/src/core/config/syntax.hpp
+++ b/src/core/config/syntax.hpp
@@ -1,5 +1,5 @@
-// The syntax of operator files: tokens and the tree that the parser makes of them. It knows no
-// section and no key: those are tables in schema.hpp. Grammar: docs/operators/configuration.md.
+// The syntax of operator files: tokens and the parse tree. It is independent of sections and keys,
+// which schema.hpp defines as tables. Grammar: docs/operators/configuration.md.
 #pragma once
 
 #include <memory>
@@ -11,6 +11,7 @@
 
 namespace violetusher::core::config {
 
+/// A token with the comments around it.
 struct Token {
   enum class Kind {
     kName,
@@ -26,16 +27,17 @@
     kEnd
   };
   Kind kind = Kind::kEnd;
-  std::string text;  ///< a name, a number with its unit, or a text without its quotes
+  std::string text;  ///< a name, a number with its unit, or a string without its quotes
   Position at;
   std::uint32_t length = 0;
-  std::vector<std::string> comments;  ///< lines that stand before it, without their '#'
-  std::string trailing_comment;       ///< a comment behind it on its line
+  std::vector<std::string> comments;  ///< comment lines before it, without their '#'
+  std::string trailing_comment;       ///< comment behind it on the same line
 };
 
-/// Cuts a text into tokens. What can't be one is told and left out. The last token is kEnd.
+/// Splits a text into tokens. Invalid input is reported and skipped. The last token is kEnd.
 std::vector<Token> tokenize(const Sources& sources, std::uint32_t file, Diagnostics& diagnostics);
 
+/// The value of a setting.
 struct Value {
   enum class Kind { kName, kText, kNumber, kList };
   Kind kind = Kind::kName;
@@ -50,7 +52,7 @@
   enum class Kind { kSetting, kBlock, kInclude, kVersion };
   Kind kind = Kind::kSetting;
   std::string key;   ///< of a setting, or the kind of a block
-  std::string name;  ///< of a block; empty where it has none
+  std::string name;  ///< of a block; may be empty
   Value value;
   std::vector<Node> nodes;
   Position at, name_at;
@@ -59,13 +61,14 @@
   std::string trailing_comment, closing_trailing_comment;
 };
 
+/// The parse tree of one file.
 struct Tree {
   std::vector<Node> nodes;
   std::vector<std::string> closing_comments;
 };
 
-/// Parses one file. After an error it goes on behind the next ';' or '}', so that independent
-/// errors are told together.
+/// Parses one file. After an error it continues behind the next ';' or '}', so that independent
+/// errors are reported together.
 Tree parse(const Sources& sources, std::uint32_t file, Diagnostics& diagnostics);
 
 }  // namespace violetusher::core::config
--- a/src/daemon/loop_task_queue.cpp
+++ b/src/daemon/loop_task_queue.cpp
@@ -29,12 +29,13 @@
     tasks_.push_back(std::move(task));
   }
   std::uint64_t one = 1;
-  // Full is as good as rung; where it fails otherwise the next look finds the task.
+  // If the counter is full, the loop is already due to wake up; after any other failure the next
+  // poll finds the task.
   [[maybe_unused]] ssize_t put =
       retry_interrupted([&] { return ::write(wakeup_fd_.get(), &one, sizeof one); });
 }
 
-/// What a bell that failed to ring has left, and a bell that was not watched.
+/// Runs tasks whose wake-up failed, and adds the wake-up event again if that had failed.
 void LoopTaskQueue::on_poll(evutil_socket_t, short, void* self) {
   auto* queue = static_cast<LoopTaskQueue*>(self);
   event_add(queue->wakeup_event_.get(), nullptr);
--- a/src/daemon/loop_task_queue.hpp
+++ b/src/daemon/loop_task_queue.hpp
@@ -1,4 +1,4 @@
-// How one thread asks another's loop to do something: what is posted runs there, in order.
+// Runs tasks posted from other threads on an event loop, in order.
 #pragma once
 
 #include <event2/event.h>
@@ -11,11 +11,13 @@
 
 namespace violetusher::net {
 
+/// A queue of tasks for the thread that runs an event loop.
 class LoopTaskQueue {
  public:
-  /// `base`: of the loop that runs what is posted. Made and unmade while that loop stands still.
+  /// `base`: the loop that runs the tasks. Construct and destroy only while that loop isn't
+  /// running.
   explicit LoopTaskQueue(event_base* base);
-  /// From any thread.
+  /// Thread-safe.
   void post(std::function<void()> task);
 
  private:
--- a/src/daemon/main.cpp
+++ b/src/daemon/main.cpp
@@ -1,5 +1,6 @@
-// violetusher: one router. Reads what it is told, starts, and ends on SIGTERM. SIGHUP makes it read
-// its configuration, and the operator file where one is in use, again.
+// The daemon violetusher: one router. Reads its configuration, serves, and ends on SIGTERM. SIGHUP
+// reloads the configuration and the operator file, if there is one. SIGUSR2 copies the flight
+// recording.
 #include <CLI/CLI.hpp>
 #include <algorithm>
 #include <cerrno>
@@ -31,13 +32,13 @@
 using namespace violetusher::net;
 
 constexpr int kExitInvalidInput = 2;
-// At a start, how long calls that may only fail for now are tried again.
+// During startup, how long calls that fail transiently are retried.
 constexpr Micros kReadRetryTimeout = 8 * kSecond, kListenRetryTimeout = 3 * kSecond;
 constexpr Micros kBansRetryTimeout = 5 * kSecond;
 constexpr Micros kRetryInterval = 10 * kMillisecond;
 constexpr Micros kMinReloadRetryDelay = 20 * kMillisecond, kMaxReloadRetryDelay = kSecond / 2;
 
-/// Calls it until it says yes, for `patience` at most.
+/// Repeats the call until it returns true, for `timeout` at most.
 template <typename Call>
 bool retry_until(Micros timeout, Call&& call) {
   for (Micros waited = 0;; waited += kRetryInterval) {
@@ -47,7 +48,7 @@
   }
 }
 
-/// The same of what throws UnreadableError while a file can't be read for now.
+/// Repeats `read` while it throws UnreadableError because of a transient failure.
 template <typename Read>
 void retry_while_unreadable(Read&& read) {
   bool done = retry_until(kReadRetryTimeout, [&] {
@@ -56,7 +57,7 @@
     } catch (const UnreadableError& e) {
       if (e.is_transient) return false;
       throw;
-    } catch (const std::system_error& e) {  // no thread or descriptor to be had
+    } catch (const std::system_error& e) {  // no thread or descriptor available
       if (classify_error(e.code().value()) == CallResult::kPermanentError) throw;
       return false;
     }
@@ -75,7 +76,7 @@
   return kExitInvalidInput;
 }
 
-/// Reads everything, says what is wrong, and starts nothing.
+/// Implements --check: reads all files, reports errors, and starts nothing.
 int check(const std::string& operator_file) {
   try {
     bool has_config = std::getenv("NODE_CONFIG") != nullptr;
@@ -83,7 +84,7 @@
     if (has_config) config = load_config();
     if (!operator_file.empty()) load_operator_file(operator_file, has_config ? &config : nullptr);
     if (!has_config && operator_file.empty())
-      return usage("--check: neither NODE_CONFIG nor --operator");
+      return usage("--check: neither NODE_CONFIG nor --operator is given");
     std::fprintf(stderr, "violetusher: good\n");
     return 0;
   } catch (const ConfigError& e) {
@@ -92,7 +93,7 @@
   }
 }
 
-/// One router and what signals do to it.
+/// One router process: the router, its optional parts, and the handling of signals.
 class Daemon {
  public:
   Daemon(event_base* base, const Config& config, const std::string& operator_file)
@@ -112,12 +113,12 @@
     apply_model(std::move(model));
   }
 
-  /// Runs until a signal ends it. The exit code.
+  /// Runs until a signal ends it; returns the exit code.
   int run(const std::string& listen) {
-    // Without the bans the router would send to servers that are out.
+    // Without the bans the router would send requests to banned servers.
     if (!retry_until(kBansRetryTimeout, [this] { return may_serve(); }))
       log_event(Log::Level::kError, "bans-unread",
-                "operator: the file of bans can't be read; goes on");
+                "operator: can't read the ban log; serving without it");
     std::string error;
     if (!retry_until(kListenRetryTimeout, [&] { return router_.listen(error); })) {
       log_event(Log::Level::kError, "listen-failed", "listen " + listen + ": " + error);
@@ -153,11 +154,11 @@
     router_.stop();
   }
 
-  /// Where the operator file asks for it: what is promised here holds at every router.
+  /// If the operator file configures a ledger: joins it, so that bans hold at every router.
   void start_ledger(event_base* base, const violetusher::core::config::Model& model) {
     if (model.ledgers.empty()) return;
 #ifdef VIOLETUSHER_LEDGER
-    std::signal(SIGXFSZ, SIG_IGN);  // a disk that takes no more is told to the ledger alone
+    std::signal(SIGXFSZ, SIG_IGN);  // a full disk must surface as an error of the ledger
     update_settings_digest();
     violetusher::ledger::Service::Handler handler;
     handler.on_bans_changed = [this](const std::set<std::string>& out) { router_.set_bans(out); };
@@ -175,12 +176,12 @@
     router_.use(*ledger_);
 #else
     (void)base;
-    throw ConfigError(operator_file_ + ": 'ledger': this program was built without it");
+    throw ConfigError(operator_file_ + ": 'ledger': not supported by this build");
 #endif
   }
 
-  /// Where the operator file asks for it: what is done here is kept on disk, with what it was done
-  /// on.
+  /// If the operator file configures an audit: records on disk what this router does, and which
+  /// configuration and data it acts on.
   void start_audit_trail(event_base* base, const violetusher::core::config::Model& model) {
     if (model.audits.empty()) return;
 #ifdef VIOLETUSHER_LEDGER
@@ -210,7 +211,7 @@
     router_.attach_activity_recorder(*activity_recorder_, audit.every);
 #else
     (void)base;
-    throw ConfigError(operator_file_ + ": 'audit': this program was built without it");
+    throw ConfigError(operator_file_ + ": 'audit': not supported by this build");
 #endif
   }
 
@@ -242,8 +243,8 @@
     router_.apply_model(std::move(model));
   }
 
-  /// Never ends the router: what goes wrong is logged, and all goes on as before. Files that can't
-  /// be read are read again until they can: what they name may bind already.
+  /// Never ends the router: errors are logged and the old configuration stays. Unreadable files are
+  /// retried until they can be read, since their content may already be in effect elsewhere.
   void reload() {
     reload_retry_delay_ = 0;
     try_reload();
@@ -268,8 +269,8 @@
   }
 
 #ifdef VIOLETUSHER_LEDGER
-  /// What the router acts on, by kind: a digest or a name each. Without the operator file, which
-  /// names each router's own folders.
+  /// What the router acts on, by kind: a digest or a version each. The operator file is left out:
+  /// it names directories of this router only.
   std::map<std::string, std::string> versions() const {
     std::string out;
     for (const std::string& id : router_.banned_servers()) out += id + "\n";
@@ -279,21 +280,21 @@
             {"out", out.empty() ? "none" : violetusher::core::ledger::label(out)}};
   }
 
-  /// The files have been read again, and are in use.
+  /// Called after reloaded files have been put to use.
   void on_files_applied() {
     update_settings_digest();
     update_operator_digest();
     router_.record_serving_change();
   }
 
-  /// The text itself; what it includes is not looked at.
+  /// Covers the text of the file itself, not its includes.
   void update_operator_digest() {
     std::string text;
     if (read_regular_file(operator_file_, text).empty())
       operator_digest_ = violetusher::core::ledger::label(text);
   }
 
-  /// Of the file that the settings were taken from; for the audit of the fleet.
+  /// Digests the settings in the configuration file, for the fleet's audit.
   void update_settings_digest() {
     const char* path = std::getenv("NODE_CONFIG");
     std::string text;
@@ -302,12 +303,12 @@
     Json all = Json::parse(text, nullptr, false);
     if (!all.is_object() || !all.contains("settings") || !all["settings"].is_object()) return;
     Json settings = all["settings"];
-    settings.erase("Az");  // each zone's own
+    settings.erase("Az");  // differs between zones
     settings_digest_ = violetusher::core::ledger::label(settings.dump());
   }
 
-  /// What is staged beside a file is read as if it were in its place; only what this router can act
-  /// on gets there. Why it can't; empty where it now does.
+  /// Checks a staged file as if it were in place, and moves it there only if this router can use
+  /// it. Returns the error, or an empty string.
   std::string apply_staged_file(violetusher::ledger::RolloutFile& file) {
     io_.update_time();
     try {
@@ -319,7 +320,7 @@
       auto model = load_operator_file(operator_file_, &config, {file.path(), file.staged()});
       if (model.ledgers != model_.ledgers || model.peers != model_.peers ||
           model.rollouts != model_.rollouts)
-        return "it changes 'ledger', 'peer' or 'rollout', which are each router's own";
+        return "'ledger', 'peer' and 'rollout' can't be changed by a rollout";
     } catch (const std::exception& e) {
       return e.what();
     }
@@ -328,7 +329,7 @@
     router_.record_reload(applied);
     if (!applied) file.undo();
     if (applied) on_files_applied();
-    return applied ? "" : "the router did not take it over; its log says why";
+    return applied ? "" : "the router did not apply the file; see its log";
   }
 #endif
 
@@ -337,20 +338,20 @@
   ReloadResult apply_files() {
     try {
       Config config = reload_config(router_.config());
-      // Both are read before either is used: a bad one changes nothing.
+      // Both files are read before either is applied, so that an invalid one changes nothing.
       if (operator_file_.empty())
         return router_.reload(config) ? ReloadResult::kApplied : ReloadResult::kRejected;
       auto model = load_operator_file(operator_file_, &config);
       if (model.ledgers != model_.ledgers || model.peers != model_.peers ||
           model.rollouts != model_.rollouts)
         log_event(Log::Level::kWarn, "reload-needs-restart",
-                  "reload: ledger differs: needs a restart");
+                  "reload: a changed 'ledger' needs a restart");
       if (model.audits != model_.audits)
         log_event(Log::Level::kWarn, "reload-needs-restart",
-                  "reload: audit differs: needs a restart");
+                  "reload: a changed 'audit' needs a restart");
       if (model.recorders != initial_recorders_)
         log_event(Log::Level::kWarn, "reload-needs-restart",
-                  "reload: recorder differs: needs a restart");
+                  "reload: a changed 'recorder' needs a restart");
       router_.update_listeners(model);
       if (!router_.reload(config)) {
         router_.update_listeners(model_);
@@ -361,12 +362,11 @@
     } catch (const UnreadableError& e) {
       if (reload_retry_delay_ == 0)
         log_event(Log::Level::kError, "reload-unreadable",
-                  std::string("reload: ") + e.what() +
-                      "; the old configuration is kept, and it is tried again");
+                  std::string("reload: ") + e.what() + "; keeping the old configuration; retrying");
       return ReloadResult::kUnreadable;
     } catch (const std::exception& e) {
       log_event(Log::Level::kError, "reload-refused",
-                std::string("reload: ") + e.what() + "; the old configuration is kept");
+                std::string("reload: ") + e.what() + "; keeping the old configuration");
       return ReloadResult::kRejected;
     }
   }
@@ -374,7 +374,7 @@
   void copy_recording() {
     if (!flight_) {
       log_event(Log::Level::kWarn, "recorder-off",
-                "SIGUSR2: nothing is recorded; see 'recorder' in the operator file");
+                "SIGUSR2: nothing is recorded; set 'recorder' in the operator file");
     } else if (flight_->copy("asked", io_.now(), true)) {
       log_event(Log::Level::kInfo, "recorder-copied",
                 "recorder: a copy was put beside the recording");
@@ -388,7 +388,7 @@
   DescriptorSink sink_;
   Log log_;
   std::string name_, operator_file_;
-  std::map<std::string, violetusher::core::config::Recorder> initial_recorders_;  // as at the start
+  std::map<std::string, violetusher::core::config::Recorder> initial_recorders_;  // as of the start
   violetusher::core::config::Model model_;                                        // in use
   std::unique_ptr<FlightFile> flight_;
 #ifdef VIOLETUSHER_LEDGER
@@ -402,7 +402,7 @@
   std::string settings_digest_, operator_digest_;
 #endif
   std::unique_ptr<Alarm> reload_alarm_;
-  Micros reload_retry_delay_ = 0;  // 0: no reload waits for files that can be read
+  Micros reload_retry_delay_ = 0;  // 0: no reload is being retried
 };
 
 }  // namespace
@@ -410,10 +410,10 @@
 int main(int argc, char** argv) {
   std::string operator_file;
   bool only_check = false;
-  if (argc > 1) {  // the platform gives none
+  if (argc > 1) {  // the platform passes no arguments
     CLI::App app{"A memcache-protocol router; NODE_CONFIG names its configuration.", "violetusher"};
-    app.add_option("--operator", operator_file, "Serve by this operator file")->type_name("FILE");
-    app.add_flag("--check", only_check, "Read everything, say what is wrong, and end");
+    app.add_option("--operator", operator_file, "Use this operator file")->type_name("FILE");
+    app.add_flag("--check", only_check, "Check all files, report errors, and exit");
     app.set_version_flag("--version", VIOLETUSHER_VERSION);
     try {
       app.parse(argc, argv);
@@ -423,14 +423,14 @@
   }
   if (only_check) return check(operator_file);
   std::signal(SIGPIPE, SIG_IGN);
-  // Of USR1 no meaning is known here, and there is nothing to copy before the start.
+  // SIGUSR1 has no function, and before the start there is no recording to copy.
   for (int one : {SIGUSR1, SIGUSR2}) std::signal(one, SIG_IGN);
-  violetusher::capture_signal(SIGHUP);  // from before the files are read first
+  violetusher::capture_signal(SIGHUP);  // before the first read, to miss no reload
   try {
     Config config;
     retry_while_unreadable([&] { config = load_config(); });
     if (!parse_address(config.discovery))
-      return fail("discovery: no address: '" + config.discovery + "'");
+      return fail("discovery: invalid address '" + config.discovery + "'");
     std::unique_ptr<event_config, void (*)(event_config*)> options(event_config_new(),
                                                                    event_config_free);
     event_config_set_flag(options.get(), EVENT_BASE_FLAG_PRECISE_TIMER);
@@ -439,7 +439,7 @@
       base.reset(event_base_new_with_config(options.get()));
       return base != nullptr;
     };
-    if (!retry_until(kReadRetryTimeout, make_base)) return fail("no event base");
+    if (!retry_until(kReadRetryTimeout, make_base)) return fail("can't create an event loop");
     std::optional<Daemon> daemon;
     retry_while_unreadable([&] { daemon.emplace(base.get(), config, operator_file); });
     return daemon->run(config.listen);
--- a/src/daemon/signals.hpp
+++ b/src/daemon/signals.hpp
@@ -1,12 +1,12 @@
-// Signals as flags that the loop asks for. A handler that hands them over a socket pair, as
-// libevent's does, loses one where that write fails.
+// Signals as flags that the event loop polls. libevent's handler passes signals through a socket
+// pair instead, and loses one if that write fails.
 #pragma once
 
 namespace violetusher {
 
-/// From now on the signal is kept until it is taken.
+/// Installs a handler that records the signal until it is consumed.
 void capture_signal(int number);
-/// Whether the signal has come since it was last taken.
+/// Whether the signal has arrived since it was last consumed.
 bool consume_signal(int number);
 
 }  // namespace violetusher
--- a/src/net/ban_log.cpp
+++ b/src/net/ban_log.cpp
@@ -11,7 +11,7 @@
 namespace {
 
 constexpr char kCompactLine[] = "COMPACT";
-// Read at once: more than the largest file that is written here.
+// Bytes read at once; larger than any file that this module writes.
 constexpr std::size_t kMaxReadBytes = 2u << 20;
 
 std::string text_of(const BanLine& line) {
@@ -25,7 +25,7 @@
   return BanLine{call->id, call->kind == core::ops::OperatorCommand::Kind::kOffline};
 }
 
-/// False where another file has taken the name since this one was opened.
+/// Sets `is_current` to false if the path has been replaced or removed since the file was opened.
 CallStatus is_current_file(const File& file, const std::string& path, bool& is_current) {
   struct stat opened {
   }, current{};
@@ -39,7 +39,7 @@
   return {};
 }
 
-/// Opens the file that stands at `path` and locks it.
+/// Opens and locks the file at `path`; EAGAIN if it is replaced meanwhile.
 CallStatus open_locked(const std::string& path, File& file) {
   CallStatus status = File::open(path, O_RDWR | O_APPEND | O_CREAT, file);
   if (status.done()) status = file.lock();
@@ -49,8 +49,8 @@
   return status;
 }
 
-/// Where the last whole line ends, so that what is torn behind it can be cut off. `size` where the
-/// file ends in more than a line can hold.
+/// Finds the end of the last complete line, so that a partial line behind it can be truncated. If
+/// the file ends in more bytes than a line can hold, that is `size`.
 CallStatus end_of_lines(const File& file, std::int64_t size, std::int64_t& end) {
   char tail[core::ops::kMaxCommandBytes];
   std::int64_t from = std::max<std::int64_t>(0, size - static_cast<std::int64_t>(sizeof tail));
@@ -84,13 +84,13 @@
     }
     if (got == 0) return {};
     at += static_cast<std::int64_t>(got);
-    // Of a line that fills the buffer the rest is dropped with it.
+    // An overlong line is dropped as a whole.
     kept = rest.size() > core::ops::kMaxCommandBytes ? 0 : rest.size();
     std::copy(rest.end() - static_cast<std::ptrdiff_t>(kept), rest.end(), text.begin());
   }
 }
 
-/// Writes what is out into a new file. Where that fails the old one has it all.
+/// Rewrites the file to the servers that are banned now. On failure the old file is complete.
 void compact(const std::string& path, const File& locked) {
   std::set<std::string> banned;
   if (!read_all(locked, banned).done()) return;
@@ -120,7 +120,8 @@
   for (const BanLine& line : lines) text += text_of(line);
   status = file.write(text);
   if (status.done() && sync) status = file.sync_data();
-  // What a failure leaves behind is either whole, and written again, or torn, and cut off.
+  // After a failure, complete lines are written again and a partial one is truncated by the next
+  // call.
   if (!status.done()) return status;
   if (static_cast<std::size_t>(end) >= kCompactionThresholdBytes) compact(path, file);
   return {};
@@ -130,7 +131,7 @@
   while (!bytes.empty()) {
     std::size_t end = bytes.find('\n');
     if (end == bytes.npos) {
-      // Without its end yet; past the bound it is skipped as it comes.
+      // Unterminated so far; a line past the maximum length is skipped as it arrives.
       if (bytes.size() <= core::ops::kMaxCommandBytes && !too_long_) return;
       too_long_ = true;
       offset_ += static_cast<std::int64_t>(bytes.size());
--- a/src/net/ban_store.cpp
+++ b/src/net/ban_store.cpp
@@ -7,9 +7,9 @@
 namespace violetusher::net {
 namespace {
 
-constexpr Micros kPollInterval = kSecond / 10;          // at what another process may have written
-constexpr Micros kBusyPollInterval = 5 * kMillisecond;  // while something is under way or unread
-constexpr Micros kMinRetryDelay = 10 * kMillisecond;    // after a failed write, then doubled
+constexpr Micros kPollInterval = kSecond / 10;          // for lines appended by another process
+constexpr Micros kBusyPollInterval = 5 * kMillisecond;  // while a write is in progress or unread
+constexpr Micros kMinRetryDelay = 10 * kMillisecond;    // after a failed write; doubled each time
 constexpr Micros kMaxRetryDelay = kSecond / 4;
 
 }  // namespace
@@ -74,13 +74,12 @@
   if (update == BanLogReader::Update::kReplaced) requeue_missing(reader_.lines());
   if (update == BanLogReader::Update::kCompacted) in_file_.clear();
   for (const BanLine& line : reader_.lines()) apply(line);
-  // A file that is larger than one part can't be ours, and is read in the background.
+  // A file larger than one read was not written by this module; the rest is read by later polls.
   loaded_ = true;
   if (reader_.at_end()) unconfirmed_.erase(unconfirmed_.begin(), unconfirmed_.begin() + written);
 }
 
-/// What is out, and that another file in the place of the one before does not tell of, is written
-/// again.
+/// Queues the bans that a replaced file does not mention, so that they are written again.
 void BanStore::requeue_missing(const std::vector<BanLine>& replacement) {
   std::set<std::string> known;
   for (const BanLine& line : replacement) known.insert(line.id);
@@ -97,7 +96,7 @@
   auto write = [path = path_, lines] { return append_bans(path, lines); };
   try {
     write_ = std::async(std::launch::async, write);
-  } catch (const std::system_error&) {  // no thread to be had
+  } catch (const std::system_error&) {  // no thread available
     write_ = std::async(std::launch::deferred, write);
   }
 }
@@ -122,7 +121,7 @@
   }
 }
 
-/// What is out: the file's word, and over it what was promised and is not read back from it yet.
+/// The bans in the file, overlaid with the updates that have not been read back from it yet.
 void BanStore::recompute_banned() {
   banned_ = in_file_;
   if (core::mutant(core::Mutant::kFileOverridesMemory)) return;
--- a/src/net/ban_store.hpp
+++ b/src/net/ban_store.hpp
@@ -1,6 +1,6 @@
-// The one owner of operators' bans. A ban is in force from promise() on, whatever the disk does; it
-// is written by a thread of its own and tried again until it is durable. The file adds to what is
-// held here and takes back only by an ONLINE line, never by being short, gone or unreadable.
+// Owns the bans of this router. A ban is in force from set_banned() on, whatever the disk does; a
+// background thread writes it and retries until it is durable. The ban log can add bans, and lifts
+// one only by an ONLINE line, never by being truncated, missing or unreadable.
 #pragma once
 
 #include <cstdint>
@@ -16,28 +16,31 @@
 
 namespace violetusher::net {
 
+/// The set of banned servers, kept in memory and in the ban log.
 class BanStore {
  public:
   using Sequence = std::uint64_t;
 
-  /// The file at `path`; an empty path keeps nothing, and all is known and durable at once.
+  /// `path`: the ban log. With an empty path nothing is stored, and every update counts as durable
+  /// at once.
   explicit BanStore(std::string path);
 
-  /// From now on the server is out, or back; advance() writes it. The number of the promise.
+  /// Bans a server or lifts its ban, in force at once; advance() writes it. Returns the sequence
+  /// number of the update.
   Sequence set_banned(const std::string& id, bool banned);
-  /// Whether the promise outlives a kill.
+  /// Whether the update survives a kill of the process.
   bool is_durable(Sequence sequence) const {
     return sequence <= durable_sequence_ || core::mutant(core::Mutant::kAcknowledgeBeforeDurable);
   }
-  /// Reads and writes what is due. True where it changed what is out.
+  /// Does the reads and writes that are due. True if the set of banned servers changed.
   bool advance(Micros now);
-  /// When to advance again.
+  /// When to call advance() next.
   Micros next_advance_at(Micros now) const;
 
   const std::set<std::string>& banned() const { return banned_; }
-  /// Whether the file has been read to its end since the start, or never can be.
+  /// Whether the ban log has been read since the start, or permanently can't be.
   bool loaded() const { return loaded_; }
-  /// Why the file can't be read or written now; empty where it can.
+  /// Why the ban log can't be read or written at present; empty if it can.
   const std::string& error() const { return error_; }
 
  private:
@@ -56,9 +59,9 @@
   std::string path_;
   BanLogReader reader_;
   std::set<std::string> in_file_, banned_;
-  std::deque<PendingUpdate> pending_;  // not durable yet, in their order
-  std::vector<BanLine> unconfirmed_;   // durable, and not read back yet
-  std::future<CallStatus> write_;      // under way, of the first `writing_count_` of pending_
+  std::deque<PendingUpdate> pending_;  // not durable yet, oldest first
+  std::vector<BanLine> unconfirmed_;   // durable, but not read back from the file yet
+  std::future<CallStatus> write_;      // in progress: the first writing_count_ of pending_
   std::size_t writing_count_ = 0;
   Sequence last_sequence_ = 0, durable_sequence_ = 0;
   Micros next_write_at_ = 0, retry_delay_ = 0;
--- a/src/net/call_result.hpp
+++ b/src/net/call_result.hpp
@@ -1,5 +1,6 @@
-// What the failure of a system call means. The one table from errno to it: past this module nothing
-// looks at errno, and no failure is taken for a statement about a file, a peer or the network.
+// Classifies failures of system calls. This is the only place that maps errno to a result: other
+// modules don't inspect errno, so that a local shortage is never mistaken for a missing file, a
+// failed peer or a network error.
 #pragma once
 
 #include <cerrno>
@@ -7,39 +8,40 @@
 
 namespace violetusher::net {
 
+/// The outcome of a system call.
 enum class CallResult {
   kDone,
-  kWouldBlock,      ///< nothing there, or no room, now
-  kTransientError,  ///< the machine is out of something for now: to be tried again
-  kPermanentError,  ///< for good
+  kWouldBlock,      ///< no data, or no buffer space, at the moment
+  kTransientError,  ///< a local shortage or a failure that may pass: retry
+  kPermanentError,  ///< retrying does not help
 };
 
-/// Of a file, a listener, or a socket that is not connected yet. EINTR is not asked about:
-/// retry_interrupted() has tried again.
+/// For calls on a file, a listener, or a socket that is not connected yet. Calls go through
+/// retry_interrupted(), which handles EINTR.
 CallResult classify_error(int error);
 
-/// Of a connection: here an unreachable network means that it is gone.
+/// For calls on an established connection, which an unreachable network breaks.
 CallResult classify_connection_error(int error);
 
-/// Whether an error of accept() is about the one connection that it would have returned, so that
-/// the next may be taken at once.
+/// Whether an error of accept() concerns only the connection that it would have returned, so that
+/// the next one can be accepted at once.
 bool affects_one_connection(int error);
 
-/// How a call ended, with its errno for messages.
+/// The result of a call, with its errno for messages.
 struct CallStatus {
   CallResult result = CallResult::kDone;
   int error = 0;
 
-  /// Of a call that has just failed.
+  /// For a call that has just failed: reads errno.
   static CallStatus failed() { return failed(errno); }
   static CallStatus failed(int error) { return {classify_error(error), error}; }
   bool done() const { return result == CallResult::kDone; }
-  /// Whether trying again may help.
+  /// Whether a retry may succeed.
   bool is_transient() const { return !done() && result != CallResult::kPermanentError; }
   std::string reason() const;
 };
 
-/// Makes the call until no signal interrupts it.
+/// Repeats the call while it fails with EINTR.
 template <typename Call>
 auto retry_interrupted(Call&& call) {
   auto result = call();
--- a/src/net/config.cpp
+++ b/src/net/config.cpp
@@ -20,8 +20,8 @@
   return value.is_string() ? value.get<std::string>() : value.dump();
 }
 
-/// Writes a JSON tree as the wire's path=value pairs: `A.B`, lists of scalars joined by commas,
-/// lists of objects as `.count`, `.0`, `.1` and onward.
+/// Flattens a JSON tree to path=value pairs: `A.B`, lists of scalars joined by commas, lists of
+/// objects as `.count`, `.0`, `.1` and so on.
 void flatten(const Json& value, const std::string& path, std::map<std::string, std::string>& to) {
   auto joined_path = [&](const std::string& name) {
     return path.empty() ? name : path + '.' + name;
@@ -42,7 +42,7 @@
 }
 
 Host parse_host(const Json& entry) {
-  if (!entry.is_object()) throw ConfigError("hosts: an entry is no object");
+  if (!entry.is_object()) throw ConfigError("hosts: an entry is not an object");
   auto text = [&](const char* name) {
     auto it = entry.find(name);
     return it != entry.end() && it->is_string() ? it->get<std::string>() : std::string();
@@ -65,25 +65,25 @@
   else if (health == "left")
     h.server.health = violetusher::Health::Removed;
   else
-    throw ConfigError("hosts: health '" + health + "'");
+    throw ConfigError("hosts: unknown health '" + health + "'");
   h.server.weight = number("share", 1);
-  // Unix time, and the router's clock has its origin there.
+  // Unix time, which is also the origin of the router's clock.
   h.server.up_since =
       static_cast<violetusher::Micros>(std::clamp(number("born_ms", 0), 0.0, 1e15)) * 1000;
-  if (h.server.id.empty()) throw ConfigError("hosts: an entry without host");
+  if (h.server.id.empty()) throw ConfigError("hosts: an entry lacks 'host'");
   if (h.server.health != violetusher::Health::Removed && h.dial.empty())
-    throw ConfigError("hosts: " + h.server.id + " without dial");
+    throw ConfigError("hosts: " + h.server.id + " lacks 'dial'");
   return h;
 }
 
-/// Of two entries of one id the one that leaves counts, else the later.
+/// Of two entries with one id, the one in the later stage of removal wins; else the later entry.
 void add_host(HostList& list, std::map<std::string, std::size_t>& index_by_id, Host&& host) {
   auto [at, fresh] = index_by_id.try_emplace(host.server.id, list.hosts.size());
   if (fresh) {
     list.hosts.push_back(std::move(host));
     return;
   }
-  list.fault = "hosts: " + host.server.id + " twice";
+  list.fault = "hosts: " + host.server.id + " is listed twice";
   Host& first = list.hosts[at->second];
   if (host.server.health >= first.server.health) first = std::move(host);
 }
@@ -92,7 +92,7 @@
   try {
     Host host = parse_host(entry);
     if (host.server.health != violetusher::Health::Removed && !parse_address(host.dial))
-      throw ConfigError("hosts: " + host.server.id + ": no address: '" + host.dial + "'");
+      throw ConfigError("hosts: " + host.server.id + ": invalid address '" + host.dial + "'");
     add_host(list, index_by_id, std::move(host));
   } catch (const ConfigError& e) {
     list.fault = e.what();
@@ -103,12 +103,12 @@
 }
 
 HostList host_list_from_json(const Json& json) {
-  if (!json.is_object()) throw ConfigError("a host list that is no object");
+  if (!json.is_object()) throw ConfigError("host list is not an object");
   auto seq = json.find("seq"), whole = json.find("whole"), hosts = json.find("hosts");
   if (seq == json.end() || !(seq->is_number() || seq->is_string()))
-    throw ConfigError("a host list without seq");
-  if (whole == json.end() || !whole->is_boolean()) throw ConfigError("a host list without whole");
-  if (hosts == json.end() || !hosts->is_array()) throw ConfigError("a host list without hosts");
+    throw ConfigError("host list lacks 'seq'");
+  if (whole == json.end() || !whole->is_boolean()) throw ConfigError("host list lacks 'whole'");
+  if (hosts == json.end() || !hosts->is_array()) throw ConfigError("host list lacks 'hosts'");
   HostList list;
   list.version = scalar_text(*seq);
   list.whole = whole->get<bool>();
@@ -122,7 +122,7 @@
   std::string text = scalar_text(value);
   char* end = nullptr;
   std::uint64_t seed = std::strtoull(text.c_str(), &end, 16);
-  if (text.empty() || *end) throw ConfigError("seed: '" + text + "' is no hex number");
+  if (text.empty() || *end) throw ConfigError("seed: '" + text + "' is not a hexadecimal number");
   return seed;
 }
 
@@ -135,12 +135,12 @@
 std::string text_of(const Json& json, const char* name) {
   auto it = json.find(name);
   if (it == json.end()) return {};
-  if (!it->is_string()) throw ConfigError(std::string(name) + ": no text");
+  if (!it->is_string()) throw ConfigError(std::string(name) + ": not a string");
   return it->get<std::string>();
 }
 
 Config config_from_json(const Json& json) {
-  if (!json.is_object()) throw ConfigError("NODE_CONFIG: the file holds no JSON object");
+  if (!json.is_object()) throw ConfigError("NODE_CONFIG: the file is not a JSON object");
   Config c;
   c.name = text_of(json, "name");
   c.listen = text_of(json, "listen");
@@ -149,18 +149,18 @@
   if (json.contains("seed")) c.seed = parse_seed(json["seed"]);
   double memory_mb = 192, sockets = 1024;
   if (auto limits = json.find("limits"); limits != json.end()) {
-    if (!limits->is_object()) throw ConfigError("limits: no object");
+    if (!limits->is_object()) throw ConfigError("limits: not an object");
     auto number = [&](const char* name, double& value) {
       auto it = limits->find(name);
       if (it == limits->end()) return;
       if (!it->is_number() || !(it->get<double>() > 0))
-        throw ConfigError("limits." + std::string(name) + ": no number above 0");
+        throw ConfigError("limits." + std::string(name) + ": not a number above 0");
       value = it->get<double>();
     };
     number("memory_mb", memory_mb);
     number("sockets", sockets);
   }
-  if (sockets < 64) throw ConfigError("limits.sockets: under 64");
+  if (sockets < 64) throw ConfigError("limits.sockets: below 64");
   c.memory_bytes = static_cast<std::size_t>(std::min(memory_mb, 1e6) * 1048576);
   c.sockets = static_cast<std::size_t>(std::min(sockets, 1e6));
   if (auto known = json.find("known"); known != json.end() && !known->is_null()) {
@@ -172,7 +172,7 @@
   }
   std::map<std::string, std::string> pairs;
   const Json& settings = required_member(json, "settings");
-  if (!settings.is_object()) throw ConfigError("settings: no object");
+  if (!settings.is_object()) throw ConfigError("settings: not an object");
   flatten(settings, "", pairs);
   for (const auto& [name, item] : json.items()) c.paths.push_back(name);
   for (const auto& [path, value] : pairs) c.paths.push_back("settings." + path);
@@ -244,7 +244,7 @@
     char* end = nullptr;
     long fd = std::strtol(set, &end, 10);
     if (*end || fd < 3 || fd > 1'000'000)
-      throw ConfigError(std::string("NODE_ACCEPT_FD: '") + set + "' is no descriptor");
+      throw ConfigError(std::string("NODE_ACCEPT_FD: '") + set + "' is not a file descriptor");
     c.accept_fd = static_cast<int>(fd);
   }
   validate(c);
--- a/src/net/config.hpp
+++ b/src/net/config.hpp
@@ -1,4 +1,5 @@
-// What the router is told at its start: environment and configuration file.
+// The configuration of the router process, from the environment and the configuration file, and
+// host lists as discovery sends them.
 #pragma once
 
 #include <stdexcept>
@@ -9,62 +10,64 @@
 
 namespace violetusher::net {
 
-/// A configuration that can't be used; what() names the setting.
+/// An invalid configuration; what() names the setting.
 struct ConfigError : std::runtime_error {
   using std::runtime_error::runtime_error;
 };
 
-/// A file could not be read, or made. That says nothing of what stands in it: it is to be tried
-/// again.
+/// A file could not be read or created. That says nothing about its content, so the caller should
+/// retry.
 struct UnreadableError : ConfigError {
   UnreadableError(const std::string& what, bool is_transient)
       : ConfigError(what), is_transient(is_transient) {}
-  bool is_transient;  ///< trying again may help without anybody's doing
+  bool is_transient;  ///< a retry may succeed without any change by an operator
 };
 
-/// One cache server as discovery lists it.
+/// One cache server as listed by discovery.
 struct Host {
   violetusher::Server server;
   std::string dial;
 };
 
+/// A host list, or a change to one, as sent by discovery.
 struct HostList {
   std::string version;
   bool whole = false;
   std::vector<Host> hosts;
-  /// Of entries that can't be used: the ids that can be read, and what is wrong with the last one,
-  /// empty where all is well. An id that is listed twice counts, and stands in `hosts` once, as it
-  /// leaves if either says so.
+  /// Invalid entries: `unusable` holds the ids that can be read, `fault` describes the last one and
+  /// is empty if all are valid. An id that is listed twice is a fault too; `hosts` has it once, as
+  /// draining or removed if either entry says so.
   std::vector<std::string> unusable;
   std::string fault;
-  Micros date = 0;  ///< discovery's Unix time as it answered; 0 where it told none
+  Micros date = 0;  ///< Unix time of discovery's answer; 0 if it gave none
 };
 
-/// Reads discovery's JSON. Throws ConfigError on anything that is not a list.
+/// Parses the JSON of discovery. Throws ConfigError if it is not a host list.
 HostList parse_host_list(const std::string& json);
 
+/// The configuration of one router process.
 struct Config {
   std::string name, listen, discovery;
-  std::string operator_listen;  ///< where operators call; empty where the platform names none
-  int accept_fd = -1;           ///< the clients' listening socket, where the platform holds it
-  std::string state_directory;  ///< a folder that outlives the process; may be empty
+  std::string operator_listen;  ///< address for operators; empty: none
+  int accept_fd = -1;           ///< listening socket for clients inherited from the platform, or -1
+  std::string state_directory;  ///< outlives the process; may be empty
   std::uint64_t seed = 0;
   std::size_t memory_bytes = 0;
   std::size_t sockets = 0;
   HostList initial_hosts;
   violetusher::Settings settings;
-  std::vector<std::string> paths;  ///< of all that the file had; see core::ops::missing_path
+  std::vector<std::string> paths;  ///< of all settings in the file; see core::ops::missing_path
   violetusher::protocol::ConnectionSettings connection_settings;
 };
 
-/// Reads the file that NODE_CONFIG names; the other NODE_ variables, where set, come before it.
-/// Throws ConfigError, or UnreadableError.
+/// Reads the file named by NODE_CONFIG; other NODE_ variables that are set override it. Throws
+/// ConfigError or UnreadableError.
 Config load_config();
-/// Reads that file again. The environment is as old as the process, so now the file comes first.
-/// Throws UnreadableError, and ConfigError also where the file lacks what `now`'s had, or its
-/// settings can't be used. `file`: to be read instead of the one that is named.
+/// Rereads that file. The environment dates from the start of the process, so the file takes
+/// precedence now. Throws UnreadableError, and ConfigError also if the file lacks a setting that
+/// `current` has or its settings are invalid. `file`: read instead of the one in NODE_CONFIG.
 Config reload_config(const Config& current, const std::string& file = {});
-/// The same from the file's text alone.
+/// Parses the text of a configuration file, without the environment.
 Config parse_config(const std::string& json);
 
 }  // namespace violetusher::net
--- a/src/net/discovery.cpp
+++ b/src/net/discovery.cpp
@@ -10,13 +10,13 @@
 using core::membership::ListResponse;
 
 const char* const kHostsPath = "/discovery/hosts";
-// Calls are ended by core::membership; this is for one whose connection hangs all the same.
+// The scheduler ends calls by its own timeouts; this margin is a backstop for a hung connection.
 constexpr Micros kHttpTimeoutMargin = 5 * kSecond;
-// A list that nothing was heard of for so long is told as old: a watch that waits is heard of twice
-// in this time.
+// Without an answer for this long the list is logged as stale. A healthy watch is answered at
+// least twice in this time.
 constexpr Micros kStaleAfter = 60 * kSecond;
 
-/// For a query, as RFC 3986 has it.
+/// Percent-encodes a query value (RFC 3986).
 std::string escaped(const std::string& text) {
   static const char* const kHex = "0123456789ABCDEF";
   std::string result;
@@ -96,8 +96,8 @@
     stale_logged_ = true;
     std::int64_t old = age() / kSecond;
     log_.write(io_.now(), Log::Level::kWarn, "discovery-quiet",
-               "discovery: nothing heard for " + std::to_string(old) +
-                   " s; the list is as old, and goes on being used",
+               "discovery: no valid answer for " + std::to_string(old) +
+                   " s; the host list may be stale and stays in use",
                {{"address", std::string_view(address_)}, {"age_s", old}});
   }
   if (auto next = scheduler_.next_due())
@@ -106,7 +106,7 @@
     alarm_->clear();
 }
 
-/// Told once, until something else is wrong or all is well.
+/// Logs each distinct fault once, until it changes or clears.
 void Discovery::log_fault(const std::string& text) {
   if (text == logged_fault_) return;
   logged_fault_ = text;
@@ -141,12 +141,13 @@
   ListDecision decision = scheduler_.on_response(place, io_.now(), answer);
   if (answer.sound && stale_logged_) {
     stale_logged_ = false;
-    log_.write(io_.now(), Log::Level::kInfo, "discovery-heard", "discovery: heard again",
+    log_.write(io_.now(), Log::Level::kInfo, "discovery-heard", "discovery: valid answers again",
                {{"address", std::string_view(address_)}});
   }
   schedule();
-  if (decision == ListDecision::kIgnore) return;  // there may be no list
-  // Of a watch that insists and is made some times a second, nothing new is nothing to be told.
+  if (decision == ListDecision::kIgnore) return;  // `list` may be empty
+  // A watch that always retries is answered several times a second; an unchanged list is not
+  // reported.
   bool changed =
       !always_retries_ || list->whole || !list->hosts.empty() || list->version != previous_version;
   if (changed) handler_.on_hosts(std::move(*list), decision == ListDecision::kApplyUnconfirmed);
--- a/src/net/discovery.hpp
+++ b/src/net/discovery.hpp
@@ -1,5 +1,5 @@
-// Discovery over HTTP. Which calls are made, and what an answer is worth, is decided by
-// core::membership::Calls; here they become requests, and answers lists.
+// Service discovery over HTTP: sends the calls that core::membership::WatchScheduler schedules,
+// parses the answers into host lists, and passes on those that the scheduler accepts.
 #pragma once
 
 #include <array>
@@ -14,35 +14,36 @@
 
 namespace violetusher::net {
 
+/// Keeps the host list current through long-poll watches on the discovery service.
 class Discovery final : core::membership::WatchScheduler::Port {
  public:
   class Handler {
    public:
     virtual ~Handler() = default;
-    /// `doubted`: discovery may know less than what is held; see HostRegistry::take().
+    /// A list to apply. `unconfirmed`: discovery may be behind the list in use; see HostRegistry.
     virtual void on_hosts(HostList&& list, bool unconfirmed) = 0;
-    /// No watch is under way and none will be before watch().
+    /// No watch is in progress, and none starts before the next watch().
     virtual void on_hosts_failed() = 0;
   };
-  /// `held`: the version of the list that the router starts with. Terms that insist watch from the
-  /// start, and begin again after failures without being asked to. Nothing is called back before
-  /// start().
+  /// `version`: the version of the list that the router starts with. With timing that always
+  /// retries, the watch begins at start() and is restarted after failures without a further call of
+  /// watch(). No callback comes before start().
   Discovery(Io& io, const std::string& address, const std::string& version,
             const core::membership::WatchTiming& timing, std::uint64_t seed, Handler& handler,
             Log& log);
   void start();
-  /// Begins a watch, anew where one is under way.
+  /// Starts a watch; one in progress is restarted.
   void watch();
-  /// Asks for the whole list besides.
+  /// Requests the full list in addition to the watch.
   void fetch();
-  /// Discovery is at another address now: begins a watch there with the whole list, whatever was
-  /// going on at the old one.
+  /// Switches to another discovery address: drops all calls to the old one and starts a watch
+  /// there, beginning with the full list.
   void move(const std::string& address);
 
-  /// Calls by other terms from now on; a watch begins anew where they differ.
+  /// Changes the timing of calls; restarts the watch if the timing differs.
   void use(const core::membership::WatchTiming& timing);
 
-  /// How long ago an answer last showed what the list is, or since the start.
+  /// Time since the last answer that confirmed the list, or since the start.
   Micros age() const { return io_.now() - scheduler_.last_response_at(); }
   /// Calls made since the start.
   std::uint64_t calls() const { return scheduler_.calls_made(); }
@@ -50,7 +51,7 @@
  private:
   using Place = core::membership::WatchScheduler::Place;
 
-  // core::membership::Calls::Port
+  // core::membership::WatchScheduler::Port
   void start(Place place, const std::string& version, Micros wait) override;
   void cancel(Place place) override;
   void on_watch_lost() override;
@@ -64,8 +65,8 @@
   Handler& handler_;
   Log& log_;
   std::string address_;
-  std::string logged_fault_;   // the last one told
-  bool stale_logged_ = false;  // that nothing was heard for long was told
+  std::string logged_fault_;   // the last fault that was logged
+  bool stale_logged_ = false;  // the warning about a stale list has been logged
   bool always_retries_;
   core::membership::WatchScheduler scheduler_;
   std::array<std::unique_ptr<HttpGet>, core::membership::WatchScheduler::kPlaces> requests_;
--- a/src/net/file_io.cpp
+++ b/src/net/file_io.cpp
@@ -94,7 +94,7 @@
 CallStatus read_whole_file(const std::string& path, std::size_t max_bytes, std::string& text) {
   text.clear();
   File file;
-  // Opened without waiting: a fifo may have nobody at its other end.
+  // Non-blocking: opening a FIFO without a writer would block.
   CallStatus status = File::open(path, O_RDONLY | O_NONBLOCK, file);
   struct stat info {};
   if (status.done()) status = file.info(info);
--- a/src/net/file_io.hpp
+++ b/src/net/file_io.hpp
@@ -1,4 +1,5 @@
-// Files, with every result typed (call_result.hpp). Short reads and writes are gone on with inside.
+// File operations with typed results (call_result.hpp). Short reads and writes are continued
+// internally.
 #pragma once
 
 #include <sys/stat.h>
@@ -12,6 +13,7 @@
 
 namespace violetusher::net {
 
+/// Owns an open file.
 class File {
  public:
   File() = default;
@@ -22,31 +24,32 @@
   }
   ~File();
 
-  /// Opens `path` with the flags of open(2), close-on-exec and mode 0600 besides.
+  /// Opens `path` with the given flags of open(2), plus close-on-exec, and mode 0600.
   static CallStatus open(const std::string& path, int flags, File& file);
   explicit operator bool() const { return descriptor_ >= 0; }
 
   CallStatus info(struct stat& info) const;
-  /// Reads until `size` bytes have come or the file ends; `got` tells how many, also on failure.
+  /// Reads until `size` bytes or the end of the file; `got` is the number of bytes read, also on
+  /// failure.
   CallStatus read_at(std::int64_t offset, char* to, std::size_t size, std::size_t& got) const;
-  /// Writes all of `text`; on failure a part of it may stand in the file.
+  /// Writes all of `text`; on failure a part of it may be in the file.
   CallStatus write(std::string_view text);
   CallStatus truncate(std::int64_t size);
   CallStatus sync_data();
   CallStatus sync();
-  /// Takes the lock of flock(2) alone, without waiting: kWouldBlock where another holds it.
+  /// Takes an exclusive flock(2) without blocking: kWouldBlock if another process holds it.
   CallStatus lock();
 
  private:
   int descriptor_ = -1;
 };
 
-/// The whole of an ordinary file of at most `most` bytes. Never waits: what is no ordinary file, or
-/// is larger, is broken (EISDIR, EINVAL, EFBIG).
+/// Reads a regular file of at most `max_bytes`. Never blocks; anything else is a permanent error
+/// (EISDIR, EINVAL, EFBIG).
 CallStatus read_whole_file(const std::string& path, std::size_t max_bytes, std::string& text);
 
-/// Writes a file anew, beside its place, syncs it, and puts it there at once with the folder's
-/// entry synced. What stood there is untouched on failure.
+/// Replaces a file atomically: writes and syncs a temporary file beside it, renames it into place,
+/// and syncs the directory. On failure to write or rename, the old file is untouched.
 CallStatus replace_file(const std::string& path, std::string_view text);
 
 }  // namespace violetusher::net
--- a/src/net/flight_file.cpp
+++ b/src/net/flight_file.cpp
@@ -21,15 +21,15 @@
     throw UnreadableError("recorder: " + path + ": " + what + ": " + status.reason(),
                           status.is_transient());
   };
-  // What the process before has left is what somebody may want to read.
+  // The recording of the previous process may be needed to investigate how it ended.
   if (::rename(path.c_str(), (path + ".before").c_str()) != 0 && errno != ENOENT)
-    fail("the old recording can't be kept");
+    fail("the previous recording can't be renamed");
   Fd fd(::open(path.c_str(), O_RDWR | O_CREAT | O_EXCL | O_CLOEXEC | O_NOFOLLOW, 0640));
-  if (!fd) fail("can't be made");
-  // Its blocks now: a full disk must not show as a signal later.
+  if (!fd) fail("can't be created");
+  // Allocates the blocks now: on a full disk a later write to the mapping would raise SIGBUS.
   if (int error = ::posix_fallocate(fd.get(), 0, static_cast<off_t>(bytes_))) {
     errno = error;
-    fail("no room");
+    fail("no disk space");
   }
   void* at =
       ::mmap(nullptr, bytes_, PROT_READ | PROT_WRITE, MAP_SHARED | MAP_POPULATE, fd.get(), 0);
--- a/src/net/flight_file.hpp
+++ b/src/net/flight_file.hpp
@@ -1,6 +1,6 @@
-// The flight recorder's file: the ring lies in it, mapped, so that it survives whatever ends the
-// process, and copies of it are put beside it when somebody asks or a rule is close to being
-// broken.
+// The flight recorder's file. The ring buffer is mapped from it, so that a recording survives any
+// end of the process. Copies are written beside it on request, and when an invariant is close to
+// being violated.
 #pragma once
 
 #include <memory>
@@ -10,20 +10,23 @@
 
 namespace violetusher::net {
 
+/// Owns the mapped recording of this process.
 class FlightFile {
  public:
-  static constexpr int kMaxCopies = 16;                    ///< of one process
-  static constexpr Micros kMinAlertInterval = 10'000'000;  ///< copies that nobody asked for
+  static constexpr int kMaxCopies = 16;  ///< per process
+  static constexpr Micros kMinAlertInterval =
+      10'000'000;  ///< between copies made without a request
 
-  /// Makes `path` with a ring of `bytes`; one that is there becomes `path`.before. Throws
-  /// ConfigError.
+  /// Creates `path` with a ring of `bytes`; an existing file is renamed to `path`.before. Throws
+  /// UnreadableError.
   FlightFile(const std::string& path, std::size_t bytes, const std::string& name, Micros now);
   ~FlightFile();
   FlightFile(const FlightFile&) = delete;
   FlightFile& operator=(const FlightFile&) = delete;
 
   core::flight::Ring& ring() { return *ring_; }
-  /// Copies the ring to `path`.REASON-NUMBER. False where that can't be, or not now.
+  /// Copies the ring to `path`.REASON-NUMBER. False if that fails, or if the limits on copies don't
+  /// allow one now.
   bool copy(const std::string& reason, Micros now, bool on_request);
 
  private:
--- a/src/net/io.hpp
+++ b/src/net/io.hpp
@@ -1,8 +1,9 @@
-// The one seam through which time, timers and sockets reach the router. Behind it stands the system
-// (system_io.hpp), or a simulated network on virtual time; nothing else in src/net calls a clock or
-// a socket function (tests/net/seam_test looks). Randomness comes in as the configuration's seed.
+// The interface through which the router uses the clock, timers and sockets. It is implemented on
+// the operating system (system_io.hpp), and can be implemented by a simulated network on virtual
+// time. Nothing else in src/net calls a clock or socket function, which tests/net/seam_test checks.
+// Randomness is seeded from the configuration.
 //
-// An Io and all that it gives belong to one thread. Callbacks come from within run_once() alone.
+// An Io and all objects it creates belong to one thread. Callbacks run only inside run_once().
 #pragma once
 
 #include <netinet/in.h>
@@ -51,14 +52,14 @@
   int number_ = -1;
 };
 
-/// Interest in what can be done with one socket. Must go before the socket.
+/// Interest in the readiness of one socket. Must be destroyed before the socket.
 class Watch {
  public:
   enum Ready : unsigned {
     kReadable = 1,
     kWritable = 2,
     kTimeout = 4,
-    kPeerEnded = 8,  ///< with kReadable, where the system tells: see Io::peer_ended()
+    kPeerEnded = 8,  ///< with kReadable, if the system reports it; see Io::peer_ended()
   };
   class Target {
    public:
@@ -66,18 +67,19 @@
     virtual void on_ready(unsigned what) = 0;
   };
   virtual ~Watch() = default;
-  /// While on, the target is called as long as there is something to read, an end included.
+  /// While enabled, the target is called as long as there is input, including the end of the
+  /// stream.
   virtual void read(bool enabled) = 0;
-  /// The target is called once, when the socket can be written; with a `limit` also, and only, when
-  /// that has passed first.
+  /// Calls the target once: when the socket becomes writable, or, given a `timeout`, when that
+  /// expires first.
   virtual void write_once(Micros timeout = 0) = 0;
 };
 
-/// Rings once after each set().
+/// A one-shot timer.
 class Alarm {
  public:
   virtual ~Alarm() = default;
-  /// Replaces what was set before.
+  /// Starts the timer, replacing an earlier setting.
   virtual void set(Micros after) = 0;
   virtual void clear() = 0;
 };
@@ -87,59 +89,62 @@
  public:
   struct Answer {
     std::string body;
-    Micros date = 0;  ///< Unix time by its Date; 0 where it has none
+    Micros date = 0;  ///< Unix time of the Date header; 0 if there is none
   };
-  /// Gets the answer of a 200, or nothing where the call failed in any way. Not called from
-  /// start().
+  /// Receives the answer of a 200 response, or nothing if the call failed in any way. Never called
+  /// from within start().
   using Done = std::function<void(std::optional<Answer> answer)>;
   virtual ~HttpGet() = default;
-  /// Begins a call; one that is under way is dropped.
+  /// Starts a call; one in progress is cancelled.
   virtual void start(const std::string& address, const std::string& path, Micros timeout) = 0;
   virtual void stop() = 0;
 };
 
+/// Clock, timers, sockets and the event loop.
 class Io {
  public:
-  /// What recv() and send() return besides a count.
+  /// Results of recv() and send() other than a byte count.
   static constexpr ssize_t kAgain = -1, kBroken = -2;
   enum class Accepted {
     kNone,
     kOne,
-    kNoDescriptor,    ///< this process may not open another one
-    kTransientError,  ///< the machine is out of something for now; says nothing of this process
+    kNoDescriptor,    ///< the descriptor limit of this process is reached
+    kTransientError,  ///< a shortage of the machine, not of this process
   };
 
   virtual ~Io() = default;
-  /// Monotonic, with Unix time as its origin; see Clock. It stands still between two callbacks and
-  /// calls of renew(): what happens in one go happens at one time, and the clock is read once.
+  /// Monotonic time whose origin is Unix time; see Clock. The value is cached: it changes only
+  /// before each callback and by update_time(), so that all work of one callback sees one time and
+  /// the clock is read once.
   virtual Micros now() const = 0;
   virtual void update_time() = 0;
 
-  /// Listens; an empty Socket with the reason in `error` where it can't.
+  /// Listens on `address`; on failure returns an empty Socket and sets `error`.
   virtual Socket listen(const sockaddr_in& address, std::string& error) = 0;
-  /// A socket that listens already and that others hold as well; an empty one with the reason in
-  /// `error` where `descriptor` is none.
+  /// Takes over a listening socket that other processes may share; if `descriptor` is not one,
+  /// returns an empty Socket and sets `error`.
   virtual Socket adopt(int descriptor, std::string& error) = 0;
   virtual std::uint16_t port(int listener) const = 0;
-  /// The next connection that waits.
+  /// Accepts the next pending connection.
   virtual Accepted accept(int listener, Socket& socket) = 0;
-  /// Begins to connect; the end shows as writable. kDone with the socket; kTransientError where
-  /// this machine is out of something for now, which says nothing of the peer; else kBroken.
+  /// Starts to connect; the socket becomes writable once that has ended. kDone with the socket;
+  /// kTransientError on a local shortage, which says nothing about the peer; else kPermanentError.
   virtual CallResult connect(const sockaddr_in& address, Socket& socket) = 0;
-  /// Whether connect() has come to a good end (kDone); asked once it is writable. kTransientError
-  /// where that can't be told now.
+  /// The result of connect(), once the socket is writable: kDone on success, kTransientError if the
+  /// result can't be determined now.
   virtual CallResult connected(int socket) = 0;
-  /// Bytes read, 0 at the end of the stream, kAgain or kBroken.
+  /// Returns the bytes read, 0 at the end of the stream, kAgain or kBroken.
   virtual ssize_t recv(int socket, char* to, std::size_t size) = 0;
-  /// Bytes written, kAgain or kBroken.
+  /// Returns the bytes written, kAgain or kBroken.
   virtual ssize_t send(int socket, const iovec* parts, std::size_t count) = 0;
-  /// False only where it is certain that recv() would return kAgain: neither bytes, an end nor an
-  /// error has come.
+  /// False only if recv() would certainly return kAgain: no bytes, end of stream or error is
+  /// pending.
   virtual bool may_have_input(int socket) = 0;
-  /// True once the peer has closed the connection or ended its sending, or broken it, also while
-  /// bytes that it sent before are still unread. False where that can't be told now: ask again.
+  /// True once the peer has closed or reset the connection or shut down its sending side, even
+  /// while bytes it sent before are unread. False if that can't be determined now: call again
+  /// later.
   virtual bool peer_ended(int socket) = 0;
-  /// Ends the sending side.
+  /// Shuts down the sending side.
   virtual void shutdown_send(int socket) = 0;
   virtual void close(int socket) = 0;
 
@@ -147,7 +152,7 @@
   virtual std::unique_ptr<Alarm> alarm(std::function<void()> on_expiry) = 0;
   virtual std::unique_ptr<HttpGet> http(HttpGet::Done done) = 0;
 
-  /// Waits for something to happen and calls whom it concerns.
+  /// Waits for events and runs their callbacks.
   virtual void run_once() = 0;
 };
 
@@ -155,8 +160,7 @@
   if (number_ >= 0) io_->close(std::exchange(number_, -1));
 }
 
-/// The address of "1.2.3.4:5", or nothing where the text is none. Port 0 stands for any free one
-/// and is an address to listen on only.
+/// Parses "1.2.3.4:5". Port 0, which stands for any free port, is valid only with `to_listen`.
 std::optional<sockaddr_in> parse_address(const std::string& text, bool to_listen = false);
 
 }  // namespace violetusher::net
--- a/src/net/log.cpp
+++ b/src/net/log.cpp
@@ -13,7 +13,7 @@
                                               {{"lines", static_cast<std::int64_t>(count)}}));
   };
   if (lost_ > 0 && write_notice("could not be written", lost_)) lost_ = 0;
-  if (suppressed > 0) write_notice("of '" + std::string(event) + "' were left out", suppressed);
+  if (suppressed > 0) write_notice("of '" + std::string(event) + "' were suppressed", suppressed);
   if (!sink_.write(core::log::format_line(format_, now, level, event, text, fields))) ++lost_;
 }
 
--- a/src/net/log.hpp
+++ b/src/net/log.hpp
@@ -1,4 +1,4 @@
-// The log: events as lines on standard error, without ever waiting for whoever reads them.
+// The log: writes events as lines to standard error and never blocks on a slow reader.
 #pragma once
 
 #include <initializer_list>
@@ -9,16 +9,16 @@
 
 namespace violetusher::net {
 
-/// Where lines go.
+/// The destination of log lines.
 class LogSink {
  public:
   virtual ~LogSink() = default;
-  /// Writes one whole line or nothing of it, at once. False where it could not.
+  /// Writes one complete line or nothing, without blocking. Returns whether it was written.
   virtual bool write(std::string_view line) = 0;
 };
 
-/// Standard error, or another descriptor that stays open. A pipe whose reader has stalled or gone
-/// takes no line; a file takes all.
+/// Writes to standard error, or to another descriptor that stays open. A line to a pipe is dropped
+/// if its reader has stalled or closed it; a regular file accepts every line.
 class DescriptorSink final : public LogSink {
  public:
   explicit DescriptorSink(int descriptor = 2) : descriptor_(descriptor) {}
@@ -28,6 +28,7 @@
   int descriptor_;
 };
 
+/// Formats events, limits their rate, and writes them to a sink.
 class Log {
  public:
   using Level = core::log::Level;
@@ -35,9 +36,9 @@
   explicit Log(LogSink& sink) : sink_(sink) {}
   void set(core::log::Format format, Level min_level) { format_ = format, min_level_ = min_level; }
 
-  /// `event` is one of docs/operators/logs.md; `text` says it for people, and is all of the line
-  /// where no operator file asks for more. At most a few lines a second of each event; the number
-  /// left out, and of those that nobody took, stands in the next line.
+  /// `event` is an event name of docs/operators/logs.md; `text` is the message for people, and the
+  /// whole line unless an operator file sets another format. Each event is limited to a few lines a
+  /// second; the next line says how many were suppressed or could not be written.
   void write(Micros now, Level level, std::string_view event, std::string_view text,
              std::initializer_list<Field> fields = {});
 
@@ -46,7 +47,7 @@
   core::log::Format format_ = core::log::Format::kText;
   Level min_level_ = Level::kInfo;
   core::log::EventRateLimiter rate_limiter_;
-  std::uint64_t lost_ = 0;  // lines that the sink did not take
+  std::uint64_t lost_ = 0;  // lines that the sink did not accept
 };
 
 }  // namespace violetusher::net
--- a/src/net/log_sink.cpp
+++ b/src/net/log_sink.cpp
@@ -5,7 +5,7 @@
 
 namespace violetusher::net {
 
-/// A pipe that can be written takes PIPE_BUF bytes at once and whole, and lines are no longer.
+/// A pipe that polls writable accepts PIPE_BUF bytes atomically, and no line is longer than that.
 bool DescriptorSink::write(std::string_view line) {
   pollfd ready{descriptor_, POLLOUT, 0};
   if (::poll(&ready, 1, 0) != 1 || !(ready.revents & POLLOUT) || (ready.revents & POLLERR))
--- a/src/net/operations.cpp
+++ b/src/net/operations.cpp
@@ -8,13 +8,12 @@
 namespace violetusher::net {
 namespace {
 
-// After a failed listen.
 constexpr Micros kListenRetryDelay = kSecond / 10;
-// Every call is answered within a second.
+// Every operator command must be answered within a second.
 constexpr Micros kDurabilityTimeout = 4 * kSecond / 5;
 
-/// Of the folder that outlives the process and the router's name, as it is the same after a
-/// restart.
+/// The path of the ban log; it depends only on the state directory and the router's name, which
+/// stay the same after a restart.
 std::string ban_path(const Config& config) {
   if (config.operator_listen.empty() || config.state_directory.empty()) return {};
   std::string name = config.name;
@@ -59,30 +58,31 @@
 void Operations::listen() {
   if (listener_.listening() || io_.now() < next_listen_at_) return;
   auto address = parse_address(config_.operator_listen, true);
-  std::string error = "no address";
+  std::string error = "not an IPv4 address and port";
   if (address && listener_.listen(*address, error)) return;
   next_listen_at_ = io_.now() + kListenRetryDelay;
   log_.write(io_.now(), Log::Level::kError, "operator-listen-failed",
-             "operator address " + config_.operator_listen + ": " + error + "; tried again",
+             "operator address " + config_.operator_listen + ": " + error + "; retrying",
              {{"address", std::string_view(config_.operator_listen)}});
 }
 
-/// Makes what is out here what was promised here or by another process of this router.
+/// Applies the bans made here or by another process of the same router.
 void Operations::sync_bans() {
   if (fleet_bans_) return;
   if (bans_.advance(io_.now())) update_registry(bans_.banned());
   log_store_error();
 }
 
-/// Told once, until something else is wrong or all is well.
+/// Logs each distinct error once, until it changes or clears.
 void Operations::log_store_error() {
   if (bans_.error() == logged_error_) return;
   logged_error_ = bans_.error();
   if (logged_error_.empty())
-    log_.write(io_.now(), Log::Level::kInfo, "bans-kept", "operator: the file of bans is good");
+    log_.write(io_.now(), Log::Level::kInfo, "bans-kept",
+               "operator: the ban log can be read and written");
   else
     log_.write(io_.now(), Log::Level::kWarn, "ban-not-kept",
-               "operator: " + logged_error_ + "; what is out stays out, and it is tried again",
+               "operator: " + logged_error_ + "; current bans stay in force; retrying",
                {{"reason", std::string_view(logged_error_)}});
 }
 
@@ -123,7 +123,7 @@
   if (!call) return "FAILURE " + error + "\r\n";
   bool out = call->kind == Kind::kOffline;
   if (fleet_bans_ && (out || call->kind == Kind::kOnline)) {
-    // Put back it may be without being listed here: another router took it out.
+    // A ban may be lifted for a server that is not listed here: another router may have set it.
     if (out && !hosts_.known(call->id)) return "FAILURE no such cache server\r\n";
     fleet_bans_->set_banned(call->id, out, [respond = std::move(respond)](std::string failure) {
       respond(failure.empty() ? "SUCCESS\r\n" : "FAILURE " + failure + "\r\n");
@@ -148,11 +148,11 @@
   if (!hosts_.known(id)) return "FAILURE no such cache server\r\n";
   if (out && !hosts_.is_banned(id) && hosts_.banned_ids().size() >= kMaxBans)
     return "FAILURE too many cache servers are out\r\n";
-  // Also where it is so already: an earlier call may not be written down yet.
+  // Recorded even if nothing changes: an earlier command may not be durable yet.
   BanStore::Sequence sequence = bans_.set_banned(id, out);
   if (hosts_.is_banned(id) != out) {
     log_.write(io_.now(), Log::Level::kInfo, out ? "server-out" : "server-back",
-               "operator: " + id + (out ? " taken out" : " put back"),
+               "operator: " + id + (out ? " banned" : ": ban lifted"),
                {{"server", std::string_view(id)}});
     update_registry(bans_.banned());
   }
--- a/src/net/operations.hpp
+++ b/src/net/operations.hpp
@@ -1,4 +1,4 @@
-// What operators do to a running router: their calls answered, servers out and back, bans kept.
+// Operator commands to a running router: health checks, metrics dumps, and bans of cache servers.
 #pragma once
 
 #include <functional>
@@ -17,47 +17,49 @@
 
 namespace violetusher::net {
 
+/// Answers operators' commands and keeps the host registry in line with the bans.
 class Operations {
  public:
   class Handler {
    public:
     virtual ~Handler() = default;
-    /// What is to be heard of a server that was taken out, or put back.
+    /// The host list change that follows from a ban or from lifting one.
     virtual void on_ban_change(HostList&& change) = 0;
     virtual core::ops::Metrics::Gauges current_figures() = 0;
   };
 
-  /// What is held for the whole fleet, where there is a ledger.
+  /// Bans that the ledger holds for the whole fleet.
   class FleetBans {
    public:
     virtual ~FleetBans() = default;
-    /// Takes a server out at every router, or puts it back. `done` hears why not; nothing in `why`
-    /// once it holds for good. Within a second, and never from within the call.
+    /// Bans a server at every router, or lifts its ban. `done` gets an empty string once the change
+    /// is committed, otherwise the reason for the failure: within a second, and never from within
+    /// this call.
     virtual void set_banned(const std::string& id, bool out,
                             std::function<void(std::string error)> done) = 0;
   };
 
-  /// All that is given outlives it. Does nothing where `config` names no address for operators.
+  /// All arguments must outlive the object. Does nothing if `config` has no operator address.
   Operations(Io& io, const Config& config, const core::ops::Metrics& metrics, Handler& handler,
              Log& log);
 
-  /// Takes over the bans that are kept, and listens; where that fails, it is tried again.
+  /// Loads the stored bans and starts to listen; retries while either fails.
   void start();
-  /// Whether it is known which servers are out; until then nothing may be sent. Looks once more
-  /// where it is not.
+  /// Whether the bans have been loaded; until then no request may be sent. Tries once more to load
+  /// them.
   bool bans_known();
-  /// From now on `promises` says which servers are out, through hold(), and no longer the file.
+  /// Takes bans from the fleet's ledger, through apply_bans(), instead of from the ban log.
   void use_fleet_bans(FleetBans& fleet_bans) { fleet_bans_ = &fleet_bans; }
   void apply_bans(const std::set<std::string>& out);
   HostRegistry& hosts() { return hosts_; }
   const HostRegistry& hosts() const { return hosts_; }
-  /// 0 while it doesn't listen.
+  /// 0 while not listening.
   std::uint16_t port() const { return listener_.listening() ? listener_.port() : 0; }
 
  private:
   std::optional<std::string> handle_command(std::string_view line,
                                             OperatorListener::Responder respond);
-  /// An operator who waits until a ban is durable.
+  /// A command that is answered once its ban is durable.
   struct PendingAnswer {
     BanStore::Sequence sequence = 0;
     Micros deadline = 0;
@@ -87,7 +89,7 @@
   FleetBans* fleet_bans_ = nullptr;
   OperatorListener listener_;
   std::unique_ptr<Alarm> tick_alarm_;
-  Micros next_listen_at_ = 0;  // not listening: when to try again
+  Micros next_listen_at_ = 0;  // while not listening: time of the next attempt
 };
 
 }  // namespace violetusher::net
--- a/src/net/operator_file.cpp
+++ b/src/net/operator_file.cpp
@@ -12,7 +12,7 @@
 
 std::string normalized(const fs::path& path) { return path.lexically_normal(); }
 
-/// Where to read what is named.
+/// The path to read `path` from: the staged file, if it is that.
 const std::string& source_path(const std::string& path, const StagedFile& staged) {
   return !staged.path.empty() && normalized(staged.path) == path ? staged.staged_path : path;
 }
@@ -26,11 +26,11 @@
     case 0:
       return "";
     case EISDIR:
-      return "it is a folder";
+      return "is a directory";
     case EINVAL:
-      return "it is no ordinary file";
+      return "not a regular file";
     case EFBIG:
-      return "it is larger than 16 MiB";
+      return "larger than 16 MiB";
     default:
       return read.reason();
   }
@@ -66,8 +66,8 @@
   CallStatus read_status;
   config::Compiled compiled = compile_file(path, error, staged, &read_status);
   if (!read_status.done())
-    throw UnreadableError(path + ", or what it includes, cannot be read: " + read_status.reason(),
-                          true);
+    throw UnreadableError(
+        path + " or a file that it includes can't be read: " + read_status.reason(), true);
   if (!error.empty()) throw ConfigError(error);
   if (!compiled.diagnostics.none()) {
     std::string all;
@@ -83,7 +83,7 @@
     auto it =
         std::find_if(classes.begin(), classes.end(), [&](const auto& k) { return k.name == name; });
     if (it == classes.end())
-      throw ConfigError(path + ": class '" + name + "' is none of the settings'");
+      throw ConfigError(path + ": class '" + name + "' is not defined in the settings");
     if (c.keyed != (it->effect == violetusher::Effect::Keyed))
       throw ConfigError(path + ": class '" + name + "': 'keyed' differs from the settings");
     if (c.attempts > settings->settings.max_attempts)
@@ -95,7 +95,7 @@
   for (const auto& [name, t] : m.tenants)
     if (!tenants.empty() &&
         std::none_of(tenants.begin(), tenants.end(), [&](const auto& k) { return k.name == name; }))
-      throw ConfigError(path + ": tenant '" + name + "' is none of the settings'");
+      throw ConfigError(path + ": tenant '" + name + "' is not defined in the settings");
   return std::move(compiled.model);
 }
 
--- a/src/net/operator_file.hpp
+++ b/src/net/operator_file.hpp
@@ -1,4 +1,5 @@
-// Operator files from disk: read with bounds, compiled, and held against what this daemon serves.
+// Operator files on disk: reads them with size limits, compiles them, and checks them against the
+// settings of this daemon.
 #pragma once
 
 #include <string>
@@ -9,28 +10,29 @@
 
 namespace violetusher::net {
 
-/// Listeners of one file: descriptors are set aside for so many.
+/// Listeners in one file; descriptors are reserved for this many.
 inline constexpr std::size_t kMaxListeners = 8;
 
-/// The whole of an ordinary file of at most `core::config::kMostBytes`; returns what is wrong,
-/// empty where nothing is. Never waits: a fifo is turned away.
+/// Reads a regular file of at most `core::config::kMaxTotalBytes`. Returns the error, or an empty
+/// string. Never blocks: a FIFO is an error.
 std::string read_regular_file(const std::string& path, std::string& text,
                               CallStatus* status = nullptr);
 
-/// A file that is not yet where it is to be: read from `from` wherever `path` is named.
+/// A new version of a file before it is moved into place: read from `staged_path` wherever `path`
+/// is named.
 struct StagedFile {
   std::string path, staged_path;
 };
 
-/// Reads and compiles a file and what it includes. Where it can't be read, `error` says so;
-/// `unread` where it or what it includes can't be read for now.
+/// Reads and compiles a file and its includes. `error` is set if the file can't be read;
+/// `read_status`, if the file or an include can't be read because of a transient failure.
 core::config::Compiled compile_file(const std::string& path, std::string& error,
                                     const StagedFile& staged = {},
                                     CallStatus* read_status = nullptr);
 
-/// The model of a file that this daemon can serve with these settings. Throws ConfigError with all
-/// messages, each with file, line and column; UnreadableError where a file can't be read for now.
-/// `config` may be null: then only the file is checked.
+/// The model of a file that fits the settings of this daemon. Throws ConfigError with all messages,
+/// each with file, line and column, and UnreadableError if a file can't be read because of a
+/// transient failure. With a null `config` only the file itself is checked.
 core::config::Model load_operator_file(const std::string& path, const Config* config,
                                        const StagedFile& staged = {});
 
--- a/src/net/operator_listener.cpp
+++ b/src/net/operator_listener.cpp
@@ -7,9 +7,11 @@
 namespace violetusher::net {
 namespace {
 
-// A line must come within this, and an answer be taken. Callers that say nothing stay for 4 s.
+// The command must arrive, and the answer be accepted, within this time. Callers that send nothing
+// keep their connections for 4 s.
 constexpr Micros kCommandTimeout = 2 * kSecond;
-// After our end the caller's is waited for, so that no reset takes the answer away.
+// After the sending side is shut down, time for the peer to close: closing earlier could send a
+// reset that destroys the answer.
 constexpr Micros kLingerTimeout = kSecond / 2;
 constexpr Micros kSweepInterval = kSecond / 10;
 
@@ -42,7 +44,7 @@
       watch_->read(false);
       return;
     }
-    if (answered_) return;  // more than one line: dropped
+    if (answered_) return;  // input behind the first line is ignored
     line_.append(bytes, static_cast<std::size_t>(received));
     std::size_t end = line_.find('\n');
     if (end == line_.npos && received > 0 && line_.size() < core::ops::kMaxCommandBytes) return;
@@ -124,7 +126,7 @@
     if (accepted == Io::Accepted::kNoDescriptor && !connections_.empty())
       connections_.erase(connections_.begin());
     if (accepted == Io::Accepted::kNoDescriptor || accepted == Io::Accepted::kTransientError)
-      accept_watch_->read(false);  // the sweep tries again
+      accept_watch_->read(false);  // resumed by the next sweep
     if (accepted != Io::Accepted::kOne) return;
     connections_.push_back(std::make_unique<Connection>(*this, std::move(socket)));
   }
--- a/src/net/operator_listener.hpp
+++ b/src/net/operator_listener.hpp
@@ -1,5 +1,5 @@
-// Where operators call: one line a connection, one answer, a close. Apart from the clients' side in
-// all that is bounded, so that neither can keep the other out.
+// The operators' listener: one command line per connection, one answer, then a close. Its limits
+// are separate from those for clients, so that neither can starve the other.
 #pragma once
 
 #include <functional>
@@ -13,20 +13,23 @@
 
 namespace violetusher::net {
 
+/// Accepts operators' connections and hands each command line to a handler.
 class OperatorListener final : Watch::Target {
  public:
-  /// Connections open at once; beyond, the one that has waited longest goes.
+  /// Connections open at once; a further one closes the oldest.
   static constexpr std::size_t kMaxConnections = 16;
-  /// Says the answer to a call that had none at once; goes nowhere where the caller has gone.
+  /// Sends the answer to a command that was not answered at once; ignored if the connection is
+  /// closed.
   using Responder = std::function<void(std::string text)>;
-  /// The answer to a call's line, each of its lines with an end, or nothing: then `later` says it.
+  /// Returns the answer to a command, each line terminated, or nothing if `respond` is called
+  /// later.
   using CommandHandler =
       std::function<std::optional<std::string>(std::string_view line, Responder respond)>;
 
   OperatorListener(Io& io, CommandHandler answer);
   ~OperatorListener() override;
 
-  /// False with the reason in `error`.
+  /// On failure returns false and sets `error`.
   bool listen(const sockaddr_in& address, std::string& error);
   std::uint16_t port() const { return io_.port(listener_.number()); }
   bool listening() const { return static_cast<bool>(listener_); }
@@ -42,7 +45,7 @@
   Socket listener_;
   std::unique_ptr<Watch> accept_watch_;
   std::unique_ptr<Alarm> sweep_alarm_;
-  std::vector<std::unique_ptr<Connection>> connections_;  // in the order of their coming
+  std::vector<std::unique_ptr<Connection>> connections_;  // oldest first
 };
 
 }  // namespace violetusher::net
--- a/src/net/peer_transport.cpp
+++ b/src/net/peer_transport.cpp
@@ -11,15 +11,14 @@
 namespace {
 
 constexpr Micros kConnectTimeout = kSecond / 2;
-constexpr Micros kMinReconnectDelay =
-    kSecond / 10;  // and as much again at random, doubled up to a second
+constexpr Micros kMinReconnectDelay = kSecond / 10;  // plus up to as much jitter; doubled up to 1 s
 constexpr Micros kSweepInterval = kSecond / 5;
 constexpr std::size_t kReadBytes = 64u << 10;
 constexpr std::size_t kMaxBufferedWhileConnectingBytes = 256u << 10;
 
 }  // namespace
 
-/// What both kinds of connection have: bytes that wait to go out.
+/// The unsent bytes of a connection.
 class SendBuffer {
  public:
   bool add(const std::string& bytes, std::size_t max_bytes) {
@@ -27,7 +26,7 @@
     bytes_ += bytes;
     return true;
   }
-  /// False where the connection is broken; `more`: something is left.
+  /// False if the connection is broken; `more` is set if bytes are left.
   bool write(Io& io, int socket, bool& more) {
     while (sent_ < bytes_.size()) {
       iovec rest{bytes_.data() + sent_, bytes_.size() - sent_};
@@ -120,7 +119,7 @@
     if (!connected_) {
       connected_ = true;
       reconnect_delay_ = kMinReconnectDelay;
-      watch_->read(true);  // it says nothing; its end is heard
+      watch_->read(true);  // the peer sends nothing; reading detects its close
     }
     if ((what & Watch::kReadable) && !(what & Watch::kWritable)) {
       char bytes[512];
@@ -146,7 +145,7 @@
     watch_->write_once(kConnectTimeout);
   }
   void disconnect() {
-    // Not from within the watch's own call: the socket goes at the next send or sweep.
+    // The watch must not be freed inside its own callback: the next sweep closes the socket.
     watch_->read(false);
     output_.clear();
     connected_ = write_pending_ = false;
@@ -204,7 +203,7 @@
     Socket socket;
     Io::Accepted accepted = io_.accept(listener_.number(), socket);
     if (accepted == Io::Accepted::kNoDescriptor || accepted == Io::Accepted::kTransientError)
-      accept_watch_->read(false);  // the sweep tries again
+      accept_watch_->read(false);  // resumed by the next sweep
     if (accepted != Io::Accepted::kOne) return;
     if (inbound_.size() >= kMaxInboundConnections) inbound_.erase(inbound_.begin());
     std::uint64_t link = next_link_++;
--- a/src/net/peer_transport.hpp
+++ b/src/net/peer_transport.hpp
@@ -1,10 +1,10 @@
-// Links from router to router, and from operators' tools: frames over TCP, each way on a connection
-// of its own that its sender opens. A frame is its length, a digest and its bytes; what does not
-// match its digest ends the connection. Nothing is kept for who can't be reached: whoever sends
-// frames sends them again.
+// The transport between routers, also used by operators' tools: frames over TCP. Each direction has
+// a connection of its own, opened by the sender. A frame consists of its length, a digest and the
+// payload; a digest mismatch closes the connection. Frames to an unreachable peer are dropped:
+// resending is up to the sender.
 //
-//     4 bytes   length of the bytes, little end first
-//     8 bytes   XXH3 of the bytes
+//     4 bytes   length of the payload, little-endian
+//     8 bytes   XXH3 of the payload, little-endian
 #pragma once
 
 #include <functional>
@@ -16,34 +16,35 @@
 
 namespace violetusher::net {
 
+/// Sends frames to the peers by name, and receives frames from any peer.
 class PeerTransport final : Watch::Target {
  public:
   static constexpr std::size_t kMaxFrameBytes = 8u << 20;      ///< bytes
-  static constexpr std::size_t kMaxBufferedBytes = 16u << 20;  ///< bytes that wait for one router
-  static constexpr std::size_t kMaxInboundConnections =
-      1024;  ///< connections that came; the oldest goes
+  static constexpr std::size_t kMaxBufferedBytes = 16u << 20;  ///< unsent bytes per connection
+  static constexpr std::size_t kMaxInboundConnections = 1024;  ///< a further one closes the oldest
   static constexpr std::size_t kHeaderBytes = 12;
 
-  /// A frame that has come. `link` names its connection, for reply().
+  /// Receives each frame. `link` identifies its connection, for reply().
   using FrameHandler = std::function<void(const std::string& frame, std::uint64_t link)>;
 
-  /// `addresses`: where each router listens, by name; those that are none are never reached.
-  /// `random`: draws for how long to wait before a router is dialled again.
+  /// `addresses`: the address of each router by name; invalid ones are never connected to.
+  /// `random`: source of the jitter of reconnect delays.
   PeerTransport(Io& io, const std::map<std::string, std::string>& addresses, FrameHandler on_frame,
                 std::function<std::uint64_t()> random);
   ~PeerTransport() override;
 
   bool listen(const sockaddr_in& address, std::string& error);
   std::uint16_t port() const { return io_.port(listener_.number()); }
-  /// Dropped where the router can't be reached or takes too little.
+  /// The frame is dropped if the router can't be reached or its buffer is full.
   void send(const std::string& name, const std::string& frame);
-  /// On the connection that a frame has come by; dropped where that is gone.
+  /// Sends on the connection that a frame arrived on; dropped if that is closed.
   void reply(std::uint64_t link, const std::string& frame);
   std::size_t inbound_connections() const { return inbound_.size(); }
 
-  /// A frame as it goes over a connection.
+  /// Adds the header to a payload.
   static std::string encode_frame(const std::string& frame);
-  /// Takes one whole frame off the front of `bytes`. 1: taken, 0: more has to come, -1: it is none.
+  /// Removes one complete frame from the front of `bytes`. Returns 1 if there was one, 0 if it is
+  /// incomplete, -1 if the bytes are not a valid frame.
   static int decode_frame(std::string& bytes, std::string& frame);
 
  private:
@@ -59,8 +60,7 @@
   std::unique_ptr<Watch> accept_watch_;
   std::unique_ptr<Alarm> sweep_alarm_;
   std::map<std::string, std::unique_ptr<OutboundConnection>> outbound_;
-  std::map<std::uint64_t, std::unique_ptr<InboundConnection>>
-      inbound_;  // in the order of their coming
+  std::map<std::uint64_t, std::unique_ptr<InboundConnection>> inbound_;  // oldest first
   std::uint64_t next_link_ = 1;
 };
 
--- a/src/net/system_io.cpp
+++ b/src/net/system_io.cpp
@@ -17,20 +17,22 @@
 
 constexpr ev_ssize_t kMaxBodyBytes = 8 << 20;
 constexpr ev_ssize_t kMaxHeaderBytes = 64 << 10;
-// A watch that could not be armed is armed again after this.
+// Delay before another attempt to add an event that could not be added.
 constexpr Micros kRearmDelay = 5 * kMillisecond;
-// A connection is used for a further call within this of its last answer.
+// A connection is reused within this time after its last answer.
 constexpr Micros kReuseWindow = kSecond;
-// A call that fails so soon on a used connection met the end of that connection.
+// A call on a reused connection that fails within this time most likely hit a connection that the
+// server had closed.
 constexpr Micros kStaleConnectionWindow = kSecond / 10;
-// After a call that got no answer on a used connection, each gets one of its own for so long.
+// After a call on a reused connection got no answer, connections are not reused for this long.
 constexpr Micros kNoReuseDuration = 10 * kSecond;
 
 class SystemWatch final : public Watch {
  public:
   SystemWatch(Io& io, event_base* base, int socket, Target& target) : io_(io), target_(target) {
-    // The peer's end comes with the bytes before it, so that it is known of before they are read.
-    // Never asked for without EV_READ: a reset would then call nobody, over and over.
+    // EV_CLOSED reports the peer's close together with the bytes before it, before they are read.
+    // Never requested without EV_READ: a reset would then wake the loop repeatedly without a
+    // callback.
     bool reports_close = event_base_get_features(base) & EV_FEATURE_EARLY_CLOSE;
     short what = EV_READ | EV_PERSIST | (reports_close ? EV_CLOSED : 0);
     read_.reset(event_new(base, socket, what, on_event, this));
@@ -57,7 +59,7 @@
     write_needs_arming_ = event_add(write_.get(), write_timeout_ > 0 ? &wait : nullptr) != 0;
     if (write_needs_arming_) schedule_retry();
   }
-  /// The system did not take the interest; a timer needs nothing of it.
+  /// The event could not be added; retries from a timer, which needs no system resources.
   void schedule_retry() {
     if (!retry_) retry_.reset(event_new(event_get_base(read_.get()), -1, 0, on_retry, this));
     timeval wait = timeval_of(kRearmDelay);
@@ -108,7 +110,7 @@
   EventPtr event_;
 };
 
-/// Unix time of an HTTP date in the form that RFC 9110 asks for; 0 where it is none.
+/// Parses an HTTP date (RFC 9110) to Unix time; 0 if it is invalid.
 Micros date_of(const char* text) {
   std::tm parts{};
   if (!text || !::strptime(text, "%a, %d %b %Y %H:%M:%S GMT", &parts)) return 0;
@@ -135,7 +137,7 @@
   }
 
   void stop() override {
-    // No answer on a used connection: perhaps the other side takes one call on each.
+    // No answer on a reused connection: the server may accept one call per connection.
     if (in_progress_ && reused_) no_reuse_until_ = io_.now() + kNoReuseDuration;
     if (in_progress_) connection_.reset();
     in_progress_ = false;
@@ -189,7 +191,7 @@
     event_active(call->ready_.get(), 0, 0);
   }
 
-  /// Outside of evhttp's own call, so that the connection can go.
+  /// Runs outside of evhttp's callback, so that the connection can be freed.
   static void on_ready(evutil_socket_t, short, void* self) {
     auto* call = static_cast<SystemHttpGet*>(self);
     call->io_.update_time();
@@ -218,10 +220,10 @@
   std::string address_, path_, connected_to_;
   Micros timeout_ = 0, started_ = 0, answered_ = 0, no_reuse_until_ = 0;
   bool in_progress_ = false;
-  bool reused_ = false;  // the call went out on a connection that had answered before
+  bool reused_ = false;  // the call was sent on a connection with an earlier answer
 };
 
-/// For recv() and send(): what is out of memory for now is tried again, as what would block.
+/// For recv() and send(): a transient shortage of memory is retried like a call that would block.
 ssize_t error_result() {
   return classify_connection_error(errno) == CallResult::kPermanentError ? Io::kBroken : Io::kAgain;
 }
@@ -252,7 +254,7 @@
       listens && ::fcntl(descriptor, F_SETFL, flags | O_NONBLOCK) == 0 &&
       ::fcntl(descriptor, F_SETFD, FD_CLOEXEC) == 0)
     return Socket(*this, descriptor);
-  error = flags >= 0 && !listens ? "no listening socket" : std::strerror(errno);
+  error = flags >= 0 && !listens ? "not a listening socket" : std::strerror(errno);
   return Socket();
 }
 
--- a/src/net/system_io.hpp
+++ b/src/net/system_io.hpp
@@ -1,5 +1,5 @@
-// The system behind the seam of io.hpp: owners of file descriptors and libevent objects, the clock,
-// and the Io made of them.
+// The implementation of io.hpp on the operating system: owners of file descriptors and libevent
+// objects, the clock, and SystemIo.
 #pragma once
 
 #include <event2/event.h>
@@ -48,7 +48,7 @@
 }
 
 /// Monotonic time whose origin is Unix time at the start: it never steps, and a `born_ms` from
-/// discovery is a time on it without conversion.
+/// discovery can be compared with it without conversion.
 class Clock {
  public:
   Clock() : origin_(unix_now() - monotonic_now()) {}
@@ -68,8 +68,8 @@
   Micros origin_;
 };
 
-/// The system's clock, timers and sockets, on a libevent loop that the caller owns and that
-/// outlives it.
+/// The system's clock, timers and sockets on a libevent loop. The caller owns the loop, which must
+/// outlive the object.
 class SystemIo final : public Io {
  public:
   explicit SystemIo(event_base* base) : base_(base), now_(clock_.now()) {}
--- a/src/protocol/command.hpp
+++ b/src/protocol/command.hpp
@@ -1,6 +1,5 @@
-// What clients ask and what they and the router are answered, free of the protocol it came by. The
-// table of open requests and all decisions see these values alone; a codec makes and reads the
-// bytes.
+// Requests and answers, independent of the protocol that carries them. The request table and all
+// decisions work on these types; a codec parses and writes the bytes.
 #pragma once
 
 #include <cstdint>
@@ -13,34 +12,34 @@
 
 namespace violetusher::protocol {
 
-constexpr std::size_t kMaxKeyBytes = 250;          ///< bytes, as memcached has it
-constexpr std::size_t kMaxOpaqueBytes = 64;        ///< bytes of a request's id
-constexpr std::size_t kMaxValueBytes = 64u << 10;  ///< bytes of one value that is held whole
+constexpr std::size_t kMaxKeyBytes = 250;          ///< memcached's limit
+constexpr std::size_t kMaxOpaqueBytes = 64;        ///< of a request's id
+constexpr std::size_t kMaxValueBytes = 64u << 10;  ///< of a value that is buffered completely
 constexpr std::size_t kMaxStreamedValueBytes =
-    4u << 20;  ///< bytes of a value that is passed on as it comes
+    4u << 20;  ///< of a value that is forwarded as it arrives
 
-/// The protocols that codecs exist for.
+/// The protocols with a codec.
 enum class WireProtocol : std::uint8_t { Meta };
 
 /// One request.
 struct Command {
-  bool set = false;  ///< stores; else reads
-  std::string id;    ///< the client's own, at most kMaxOpaqueBytes bytes; the answer bears it
+  bool set = false;  ///< a write; else a read
+  std::string id;    ///< chosen by the client, at most kMaxOpaqueBytes; echoed in the answer
   std::string key, type, tenant;
-  std::string idempotency;           ///< key of a write whose repeats are dropped; empty = none
+  std::string idempotency;           ///< idempotency key of a write; empty = none
   std::string value;                 ///< of a set
-  double wait_ms = 0;                ///< how long the client waits for this try
-  std::optional<std::int64_t> work;  ///< its guess of the work, microseconds on a standard core
+  double wait_ms = 0;                ///< the client's timeout for this attempt
+  std::optional<std::int64_t> work;  ///< client's estimate, microseconds on a standard core
   bool repeat = false;
-  std::string listener;  ///< by which it came; empty = the platform's
-  /// What a codec needs to pass the request on as its client wrote it; no other code reads it. Of a
-  /// meta command the line without its end, cut open where the figure of `d` stands.
+  std::string listener;  ///< that accepted the connection; empty = the platform's
+  /// For the codec only, to forward the request as the client wrote it. For a meta command: the
+  /// line without its end, split at the value of `d`, which is replaced.
   WireProtocol protocol = WireProtocol::Meta;
   std::string head, tail;
 
-  /// As made anew, but for the memory of its texts, which is kept for the next one.
+  /// Resets all fields; keeps the memory of the strings for reuse.
   void clear();
-  /// What the command holds in memory, about; bytes.
+  /// Approximate memory of the command, bytes.
   std::size_t size() const { return 4 * head.size() + value.size() + 512; }
 };
 
@@ -58,16 +57,16 @@
 struct Answer {
   enum class Kind { Value, Stored, Busy, Error, Miss };
   Kind kind = Kind::Error;
-  std::string id;              ///< the command's; may be empty where the answer bears none
-  std::string receipt;         ///< of a write that is stored
-  std::string value;           ///< of a read that is served; of a long one empty
-  std::size_t length = 0;      ///< of that value, bytes
-  int note = 0;                ///< 1 hit, 2 miss, 3 miss while another fetch is out, 0 not told
-  violetusher::Report report;  ///< in the order of the settings' fields, NaN where not told; empty
-                               ///< where no field could be read
-  bool close_after = false;  ///< after such an answer the connection's framing is not to be trusted
+  std::string id;              ///< of the command; empty if the answer has none
+  std::string receipt;         ///< of a stored write
+  std::string value;           ///< of a read; empty for a streamed value
+  std::size_t length = 0;      ///< of the value, bytes
+  int note = 0;                ///< 1 hit, 2 miss, 3 miss with a fetch in progress, 0 unknown
+  violetusher::Report report;  ///< in the order of the settings' fields, NaN for absent ones;
+                               ///< empty if no field could be read
+  bool close_after = false;    ///< the connection may be out of sync after this answer
 
-  /// As made anew, but for the memory of its texts, which is kept for the next one.
+  /// Resets all fields; keeps the memory of the strings for reuse.
   void clear() {
     kind = Kind::Error;
     for (std::string* text : {&id, &receipt, &value}) text->clear();
@@ -76,19 +75,19 @@
   }
 };
 
-/// The one final answer that a client gets. Its texts are another's, which must outlive it.
+/// The final answer to a client. Its strings are views, which must stay valid.
 struct Reply {
   enum class Kind {
     Value,
     Stored,
-    Busy,    ///< refused: trying again is harmless
-    Failed,  ///< promises nothing
-    Bad,     ///< the command can't be used
+    Busy,    ///< refused before any effect: a retry is safe
+    Failed,  ///< the request may or may not have run
+    Bad,     ///< the command is invalid
   };
   Kind kind = Kind::Failed;
   std::string_view value;    ///< of Value
   std::string_view receipt;  ///< of Stored; may be empty
-  Micros retry_after = 0;    ///< of Busy: when to try again at the earliest; 0 = not told
+  Micros retry_after = 0;    ///< of Busy: earliest time of a retry; 0 = none given
 
   explicit Reply(Kind of = Kind::Failed, Micros wait = 0) : kind(of), retry_after(wait) {}
 };
--- a/src/protocol/meta.cpp
+++ b/src/protocol/meta.cpp
@@ -11,8 +11,8 @@
 namespace violetusher::protocol {
 namespace {
 
-constexpr std::size_t kMaxPairs = 16;    // names and values of one command
-constexpr double kMaxReportValue = 1e9;  // of a load report; beyond, it can't be read
+constexpr std::size_t kMaxPairs = 16;    // name=value pairs of one command
+constexpr double kMaxReportValue = 1e9;  // of a load report; larger values are ignored
 
 template <typename T>
 std::optional<T> number(std::string_view text) {
@@ -22,7 +22,7 @@
   return value;
 }
 
-/// The next word of `rest`, which it is taken from; empty at the end.
+/// Removes the next word from `rest`; empty at the end.
 std::string_view next_word(std::string_view& rest) {
   while (!rest.empty() && rest.front() == ' ') rest.remove_prefix(1);
   std::string_view word = rest.substr(0, rest.find(' '));
@@ -30,9 +30,9 @@
   return word;
 }
 
-/// Moves bytes up to and with the next '\n' from `in` behind `partial`. Gives the line without its
-/// end when it is whole; it lives in `in`'s memory or in `partial`, which the caller clears then.
-/// Sets `too_long` when no line end came within kMaxLineBytes bytes.
+/// Consumes `in` up to and including the next '\n'. Returns the line without its terminator once it
+/// is complete; it points into `in` or `partial`, which the caller then clears. An incomplete line
+/// is kept in `partial`. Sets `too_long` if no terminator comes within kMaxLineBytes.
 std::optional<std::string_view> read_line(std::string_view& in, std::string& partial,
                                           bool& too_long) {
   std::size_t end = in.find('\n');
@@ -51,7 +51,7 @@
   return line;
 }
 
-/// Moves up to `need` bytes from `in` behind `to`.
+/// Moves up to `remaining` bytes from `in` to the end of `to`.
 void read_bytes(std::string_view& in, std::string& to, std::size_t& remaining) {
   std::size_t size = std::min(remaining, in.size());
   to.append(in.data(), size);
@@ -59,14 +59,15 @@
   remaining -= size;
 }
 
-/// Takes the line end off that a value must have behind it; false where it has none.
+/// Removes the line end that must follow a value; false if there is none.
 bool strip_line_end(std::string& value) {
   if (value.size() < 2 || value[value.size() - 2] != '\r' || value.back() != '\n') return false;
   value.resize(value.size() - 2);
   return true;
 }
 
-/// No control characters: what a terminal or another parser would not take for part of a line.
+/// Whether there are no control characters, which a terminal or another parser may not treat as
+/// part of a line.
 bool printable(std::string_view text) {
   return std::none_of(text.begin(), text.end(), [](unsigned char c) { return c < 32 || c == 127; });
 }
@@ -154,7 +155,7 @@
     else if (flag[0] == 'P' && pairs.empty())
       pairs = flag.substr(1);
     else
-      return Got::Bad;  // one that is not of the protocol, or comes twice
+      return Got::Bad;  // an unknown or repeated flag
   }
   if (command.id.empty() || command.id.size() > kMaxOpaqueBytes || wants_value == command.set)
     return Got::Bad;
@@ -167,7 +168,7 @@
     std::size_t eq = pair.find('=');
     if (eq == pair.npos) return Got::Bad;
     std::string_view name = pair.substr(0, eq), value = pair.substr(eq + 1);
-    // Of two the cache server may believe the other one.
+    // A repeated name is rejected: the cache server might use the other value.
     auto* end = names.data() + named;
     if (named == kMaxPairs || std::find(names.data(), end, name) != end) return Got::Bad;
     names[named++] = name;
@@ -176,7 +177,7 @@
     if (name == "r") command.repeat = value == "1";
     if (name == "k") command.idempotency = value;
     if (name == "d") wait = value;
-    if (name == "h") {  // a guess: one that can't be used is none
+    if (name == "h") {  // only an estimate: an invalid one is ignored
       auto work = number<double>(value);
       if (work && *work >= 0 && *work < 1e12) command.work = static_cast<std::int64_t>(*work);
     }
@@ -289,7 +290,7 @@
     }
   }
   if (fetching && answer.note == 2) answer.note = 3;
-  // Served without what it was served with: nobody could tell that it was.
+  // Without a receipt the client couldn't verify that the write was stored.
   if (answer.kind == Answer::Kind::Stored && answer.receipt.empty()) return false;
   return true;
 }
--- a/src/protocol/meta.hpp
+++ b/src/protocol/meta.hpp
@@ -1,5 +1,5 @@
-// memcache's meta protocol: commands and answers read incrementally from bytes, and written. No
-// sockets here; every buffer is bounded.
+// The memcache meta protocol: incremental parsers for commands and answers, and their
+// serialization. Works on byte buffers only; every buffer is bounded.
 #pragma once
 
 #include <cstdint>
@@ -11,34 +11,35 @@
 
 namespace violetusher::protocol {
 
-constexpr std::size_t kMaxLineBytes = 2048;  ///< bytes of one line, its end included
+constexpr std::size_t kMaxLineBytes = 2048;  ///< of a line, its terminator included
 
-/// The bytes of `command` for a cache server, `wait_ms` in the place of the client's, behind `out`.
+/// Appends `command` to `out` as it is sent to a cache server, with `wait_ms` in place of the
+/// client's timeout.
 void append_command(std::string& out, const Command& command, std::int64_t wait_ms);
 std::string command_bytes(const Command& command, std::int64_t wait_ms);
-/// The bytes before a value of `length` bytes that serves the request `id`, behind `out`.
+/// Appends the header line of a value of `length` bytes for the request `id` to `out`.
 void append_value_head(std::string& out, const std::string& id, std::size_t length);
-/// The bytes of the final answer to the request `id`, behind `out`.
+/// Appends the final answer to the request `id` to `out`.
 void append_reply(std::string& out, const std::string& id, const Reply& reply);
 
-/// Reads commands. `take` consumes from `in`; what it can't finish yet it keeps, one line and one
-/// value at most.
+/// Parses commands. `take` consumes bytes from `in` and buffers an incomplete command, at most one
+/// line and one value.
 ///
-/// A command is taken only in the form that PROTOCOL gives it: a line with flags, bytes or figures
-/// of another kind may mean something else to the cache server that it is passed on to.
+/// Only the exact form of the protocol is accepted: a line with other flags, bytes or numbers might
+/// mean something else to the cache server that it is forwarded to.
 class CommandReader {
  public:
   enum class Got {
-    Nothing,  ///< all of `in` is consumed, no command is whole
-    Command,  ///< `command` is whole
+    Nothing,  ///< all of `in` is consumed; no command is complete
+    Command,  ///< `command` is complete
     Noop,     ///< `mn`
-    Unknown,  ///< a line that is no command known here
-    Bad,      ///< a command that can't be used; where the next one begins may be lost
+    Unknown,  ///< an unknown command
+    Bad,      ///< an invalid command; the start of the next one may be unknown
   };
   Got take(std::string_view& in, Command& command);
-  /// True while the bytes of a command have come in part.
+  /// True while a command is incomplete.
   bool in_command() const { return !partial_.empty() || state_ != State::Line; }
-  /// Bytes held of a command that is not whole.
+  /// Bytes buffered for an incomplete command.
   std::size_t buffered() const { return partial_.size() + pending_.value.size(); }
 
  private:
@@ -51,21 +52,21 @@
   std::size_t value_remaining_ = 0;
 };
 
-/// Reads answers of one connection, in their order.
+/// Parses the answers on one connection.
 class AnswerReader {
  public:
   explicit AnswerReader(const std::vector<violetusher::ReportField>* fields) : fields_(fields) {}
   enum class Got {
-    Nothing,  ///< all of `in` is consumed, nothing is whole
-    Answer,   ///< `answer` is whole, its value too
-    Begin,   ///< the head of `answer` is whole, whose value of over kMaxValueBytes bytes is to come
-    Piece,   ///< more of that value: piece(); once all of it has come, the next one is Answer
-    Broken,  ///< no answer of the protocol; the connection is of no more use
+    Nothing,  ///< all of `in` is consumed; nothing is complete
+    Answer,   ///< `answer` is complete, including its value
+    Begin,    ///< the header of `answer` is complete; a value over kMaxValueBytes follows
+    Piece,    ///< more of that value, in piece(); Answer follows the last one
+    Broken,   ///< a protocol error; the connection can't be used any more
   };
   Got take(std::string_view& in, Answer& answer);
-  /// Of a long value, in the memory that take() was given.
+  /// Part of a streamed value; points into the input of take().
   std::string_view piece() const { return piece_; }
-  /// True while an answer has come in part.
+  /// True while an answer is incomplete.
   bool in_answer() const { return !partial_.empty() || state_ != State::Line; }
 
  private:
--- a/src/protocol/settings.cpp
+++ b/src/protocol/settings.cpp
@@ -40,7 +40,7 @@
 
 namespace {
 
-/// Typed look-ups by path; an absent or empty value gives the default.
+/// Typed lookups by path; an absent or empty value yields the default.
 struct Reader {
   const SettingPairs& by_path;
 
@@ -83,7 +83,7 @@
     c.deadline = integer(at + "DeadlineUs", 0);
     c.worth = number(at + "Worth", 1);
     c.late_worth = number(at + "LateWorth", 0);
-    // Without one the class would pass for safe to repeat.
+    // Required: a default would treat the class as safe to repeat.
     c.effect = word(kEffect, text(at + "Effect"), at + "Effect");
     if (!text(at + "Group").empty()) c.group = word(kGroup, text(at + "Group"), at + "Group");
     c.key_ttl = integer(at + "KeyTtlUs", 0);
--- a/src/protocol/text.hpp
+++ b/src/protocol/text.hpp
@@ -1,4 +1,4 @@
-// Words, numbers and lists as the wire and the settings write them.
+// Parsing of words, numbers and lists, as used on the wire and in settings.
 #pragma once
 
 #include <array>
@@ -12,7 +12,7 @@
 
 namespace violetusher::protocol {
 
-/// A malformed line or setting; what() says what is wrong with it.
+/// A malformed line or setting; what() describes the error.
 struct WireError : std::runtime_error {
   using std::runtime_error::runtime_error;
 };
--- a/tests/core/config/config_test.cpp
+++ b/tests/core/config/config_test.cpp
@@ -1,4 +1,5 @@
-// The operator language: a corpus of broken files, properties of formatter and diff, spoilt bytes.
+// The operator file language: a corpus of invalid files and their messages, properties of formatter
+// and diff, and fuzzed input.
 #include <gtest/gtest.h>
 #include <rapidcheck/gtest.h>
 
@@ -25,7 +26,7 @@
 
 Loaded from_corpus(const std::string&, const std::string& name) {
   fs::path path = fs::path(VIOLETUSHER_CORPUS) / name;
-  if (fs::is_directory(path)) return {name, "", "it is a folder"};
+  if (fs::is_directory(path)) return {name, "", "is a directory"};
   if (!fs::exists(path)) return {name, "", "No such file or directory"};
   return {name, contents(path), ""};
 }
@@ -40,7 +41,7 @@
   return names;
 }
 
-TEST(Corpus, EachBrokenFileGivesJustItsMessage) {
+TEST(Corpus, EachInvalidFileGivesExactlyItsMessages) {
   auto names = broken_files();
   EXPECT_GE(names.size(), 120u);
   for (const std::string& name : names) {
@@ -49,7 +50,7 @@
     std::string got;
     for (const Diagnostic& d : c.diagnostics.list()) {
       got += c.sources.brief(d) + "\n";
-      // Shown, the caret stands under the line that it is about, and nothing in it is unprintable.
+      // The full message has a caret and contains no NUL byte.
       std::string shown = c.sources.show(d);
       EXPECT_NE(shown.find('^'), shown.npos);
       EXPECT_LT(shown.size(), 1500u) << name;
@@ -60,7 +61,7 @@
   }
 }
 
-TEST(Show, CaretStandsUnderTheMistake) {
+TEST(Show, CaretMarksThePositionOfTheError) {
   Compiled c = compile("f.conf", "version 1;\npool main { }\nroute r { pool = mian; }\n", nothing);
   ASSERT_EQ(c.diagnostics.list().size(), 1u);
   EXPECT_EQ(c.sources.show(c.diagnostics.list()[0]),
@@ -70,7 +71,7 @@
             "  did you mean 'main'?\n");
 }
 
-TEST(Compile, UnderstandsWhatIsWritten) {
+TEST(Compile, ReadsAllSectionsIntoTheModel) {
   Compiled c =
       compile("f",
               "version 1;\nclass c { attempts = 4; keyed = on; }\ntenant a { }\ntenant b { }\n"
@@ -92,7 +93,7 @@
   EXPECT_TRUE(c.model.classes.at("c").keyed);
 }
 
-/// A file of pools, limits and routes by a generator: always a good one.
+/// A randomly generated file of pools, limits and routes that is always valid.
 std::string generated(std::mt19937_64& random, bool spaces) {
   auto pick = [&](std::size_t n) { return static_cast<std::size_t>(random() % n); };
   auto gap = [&] {
@@ -155,7 +156,7 @@
   RC_ASSERT(diff(m, m).empty());
 }
 
-/// Each request whose way differs is covered by a line, and no line covers only requests that stay.
+/// Each request whose routing differs is covered by a reported change.
 RC_GTEST_PROP(Diff, IsComplete, (std::uint64_t seed)) {
   std::mt19937_64 random(seed);
   Model a = good(generated(random, false)).model, b = good(generated(random, false)).model;
@@ -195,7 +196,7 @@
   EXPECT_NE(changes[0].what.find("70/s"), std::string::npos);
 }
 
-TEST(Explain, TellsTheWayStepByStep) {
+TEST(Explain, DescribesTheRouteStepByStep) {
   Model m = good(
                 "version 1;\nclass c { attempts = 2; }\npool p { }\npool q { halls = [bole]; }\n"
                 "route one { class = c; prefix = \"bar\"; pool = q; }\nroute rest { pool = p; }\n")
@@ -205,13 +206,13 @@
             "routes of class c: 'one' by prefix \"bar\"\npool 'q': halls bole; limit none; budget "
             "none\n");
   told = explain(m, {"", "", "c", "x"});
-  EXPECT_EQ(told.rfind(
-                "routes of class c: none whose prefix the key has\nroutes of anybody: 'rest'\n", 0),
-            0u)
+  EXPECT_EQ(
+      told.rfind("routes of class c: none with a matching prefix\nroutes of anybody: 'rest'\n", 0),
+      0u)
       << told;
 }
 
-TEST(Bounds, LargeAndDeepFilesEndSoonWithAClearWord) {
+TEST(Bounds, OversizedAndDeeplyNestedFilesAreRejectedWithAMessage) {
   Compiled c = compile("big", std::string(kMaxTotalBytes + 1, ' '), nothing);
   EXPECT_EQ(c.diagnostics.list().at(0).what, "the file is larger than 16 MiB");
   c = compile("rubbish", std::string(10u << 20, '{'), nothing);
@@ -225,17 +226,17 @@
   c = compile("pools", pools, nothing);
   EXPECT_TRUE(c.diagnostics.none());
   EXPECT_EQ(c.model.pools.size(), 10'000u);
-  // One file of many, each of which includes the next.
+  // A long chain of files, each of which includes the next.
   c = compile("f0", "version 1;\ninclude \"f1\";\n",
               [](const std::string&, const std::string& name) {
                 int n = std::stoi(name.substr(1));
                 return Loaded{name, "include \"f" + std::to_string(n + 1) + "\";\n", ""};
               });
   ASSERT_EQ(c.diagnostics.list().size(), 1u);
-  EXPECT_EQ(c.diagnostics.list()[0].what, "includes inside one another more than 16 deep");
+  EXPECT_EQ(c.diagnostics.list()[0].what, "includes nested more than 16 deep");
 }
 
-TEST(Fuzz, SpoiltFilesAreReadOrToldAndNothingElse) {
+TEST(Fuzz, MutatedFilesCompileOrGiveDiagnostics) {
   std::mt19937_64 random(20261201);
   std::string seeds;
   int good_ones = 0;
@@ -275,7 +276,7 @@
   EXPECT_GT(good_ones, 50);
 }
 
-RC_GTEST_PROP(Figures, AreReadBackAsWritten, ()) {
+RC_GTEST_PROP(Quantities, ParseBackAsFormatted, ()) {
   for (Type type :
        {Type::kDuration, Type::kSize, Type::kRate, Type::kPercent, Type::kShare, Type::kInteger}) {
     double quantity = *rc::gen::inRange<std::int64_t>(0, 100'000'000'000);
--- a/tests/core/config/moved_keys_test.cpp
+++ b/tests/core/config/moved_keys_test.cpp
@@ -1,4 +1,4 @@
-// Which keys move by a new version of an operator file.
+// The share of keys that a new version of an operator file moves.
 #include "core/config/moved_keys.hpp"
 
 #include <gtest/gtest.h>
@@ -14,7 +14,7 @@
   return compiled.model;
 }
 
-/// Ten servers, five in each hall.
+/// Ten servers, five in each zone.
 std::vector<Server> servers() {
   std::vector<Server> list;
   for (int k = 0; k < 10; ++k) {
@@ -29,19 +29,19 @@
 constexpr int kKeys = 4000;
 const std::string kAll = "pool p { }\nroute r { pool = p; }\n";
 
-TEST(MovedKeys, NoneByTheSameFileOrNewNames) {
+TEST(MovedKeys, NoKeysMoveWithTheSameFileOrRenamedSections) {
   EXPECT_TRUE(moved_keys(model_of(kAll), model_of(kAll), servers(), kKeys).empty());
   EXPECT_TRUE(moved_keys(model_of(kAll), model_of("pool other { }\nroute x { pool = other; }\n"),
                          servers(), kKeys)
                   .empty());
 }
 
-TEST(MovedKeys, ThoseOfServersThatGoAndNoOthers) {
+TEST(MovedKeys, OnlyKeysOfRemovedServersMove) {
   auto moved =
       moved_keys(model_of(kAll), model_of("pool p { halls = [bole]; }\nroute r { pool = p; }\n"),
                  servers(), kKeys);
   ASSERT_EQ(moved.size(), 1u);
-  // The sequence goes on to the next live segment: the keys of those that stay, stay.
+  // A key of a removed server goes to the next live server of its sequence; all other keys stay.
   EXPECT_NEAR(moved[0].share, 0.5, 0.1);
   EXPECT_EQ(moved[0].nobody, 0);
   std::vector<Server> one_less = servers();
@@ -55,7 +55,7 @@
   EXPECT_NEAR(homes[0].share, 0.1, 0.05);
 }
 
-TEST(MovedKeys, AllWhereRequestsGoToOtherServersOrNone) {
+TEST(MovedKeys, AllKeysMoveToADisjointPoolOrToNoServer) {
   auto split = model_of(
       "class a { attempts = 1; }\npool p { halls = [bole]; }\npool q { halls = [kality]; }\n"
       "route r { pool = p; }\nroute s { class = a; pool = q; }\n");
@@ -73,7 +73,7 @@
   EXPECT_EQ(nobody[0].nobody, 1);
 }
 
-TEST(MovedKeys, DrainingServersGetNone) {
+TEST(MovedKeys, DrainingServersGetNoKeys) {
   auto list = servers();
   for (auto& s : list)
     if (s.zone == "bole") s.health = Health::Draining;
--- a/tests/daemon/flight_test.cpp
+++ b/tests/daemon/flight_test.cpp
@@ -1,5 +1,5 @@
-// The daemon's flight recorder: a recording survives SIGKILL, a copy comes when asked, and without
-// an operator file there is none.
+// The daemon's flight recorder: a recording survives SIGKILL, a copy is made on request, and
+// without an operator file there is no recording.
 #include <signal.h>
 #include <sys/wait.h>
 
@@ -49,7 +49,7 @@
     std::string text = read_log_until("listens on");
     port_ = static_cast<std::uint16_t>(std::stoi(text.substr(text.rfind(':') + 1)));
   }
-  /// What it has said up to a line with `words`, that line included.
+  /// Reads the log up to and including a line that contains `words`.
   std::string read_log_until(const std::string& words) {
     std::string text;
     char byte;
@@ -94,7 +94,7 @@
   EXPECT_EQ(client.line(), "VA 5 O" + id);
 }
 
-TEST(FlightOfADaemon, SurvivesSigkillAndTheNextStart) {
+TEST(DaemonRecording, SurvivesSigkillAndTheNextStart) {
   LineServer cache(good_cache);
   Daemon daemon(cache, true);
   for (int k = 0; k < 20; ++k) ask(daemon.port(), "a" + std::to_string(k));
@@ -114,7 +114,7 @@
   EXPECT_EQ(read(daemon.path()).size(), 0u);
 }
 
-TEST(FlightOfADaemon, IsCopiedWhenAsked) {
+TEST(DaemonRecording, IsCopiedOnRequest) {
   LineServer cache(good_cache);
   Daemon daemon(cache, true);
   ask(daemon.port(), "a1");
@@ -124,7 +124,7 @@
   EXPECT_EQ(read(daemon.path() + ".asked-1").size(), 1u);
 }
 
-TEST(FlightOfADaemon, WithoutAnOperatorFileThereIsNoneAndTheSignalIsHarmless) {
+TEST(DaemonRecording, WithoutAnOperatorFileTheCopySignalIsHarmless) {
   LineServer cache(good_cache);
   Daemon daemon(cache, false);
   ::kill(daemon.pid(), SIGUSR2);
@@ -133,8 +133,9 @@
   EXPECT_FALSE(fs::exists(daemon.path()));
 }
 
-/// What the platform counts: nothing more is opened or held than the loop and the listener need.
-TEST(Footprint, WithoutAnOperatorFileIsThatOfTheLoopAndTheListener) {
+/// The platform limits descriptors and memory: no more may be open than the event loop and the
+/// listener need.
+TEST(Footprint, WithoutAnOperatorFileOnlyTheLoopAndTheListenerAreOpen) {
   LineServer cache(good_cache);
   auto links = [](const std::string& of) {
     std::vector<std::string> all;
@@ -145,7 +146,7 @@
     return all;
   };
   Daemon daemon(cache, false);
-  auto ours = links("self");  // what the test itself was given, the daemon inherits
+  auto ours = links("self");  // inherited by the daemon
   std::string process = "/proc/" + std::to_string(daemon.pid());
   int sockets = 0, loops = 0;
   for (const std::string& what : links(std::to_string(daemon.pid()))) {
@@ -155,7 +156,7 @@
     loops += what.find("[eventpoll]") != what.npos;
   }
   EXPECT_EQ(loops, 1);
-  EXPECT_LE(sockets, 5);  // the listener, two for signals, a call of discovery that may be out
+  EXPECT_LE(sockets, 5);  // the listener, two for signals, a possible discovery call
 #if !defined(__SANITIZE_ADDRESS__)
   for (int k = 0; k < 50; ++k) ask(daemon.port(), "a" + std::to_string(k));
   std::ifstream status(process + "/status");
@@ -164,7 +165,7 @@
   while (status >> word)
     if (word == "VmRSS:") status >> resident;
   EXPECT_GT(resident, 0);
-  EXPECT_LT(resident, 12 * 1024) << "KiB, where the platform gives 32 MiB";
+  EXPECT_LT(resident, 12 * 1024) << "KiB; the platform allows 32 MiB";
 #endif
 }
 
--- a/tests/daemon/io_faults_test.cpp
+++ b/tests/daemon/io_faults_test.cpp
@@ -1,11 +1,11 @@
-// Real daemons whose system calls fail for a while: bans, settings and lists that must not be
-// forgotten or missed, and requests that must not be lost by it.
+// Daemon processes whose system calls fail for a while. No ban, reload or host list change may be
+// lost by that, and no request.
 #include "process_support.hpp"
 
 namespace violetusher::net::test {
 namespace {
 
-/// Two cache servers, and a daemon with an address for operators, under a fault script.
+/// Two cache servers, and a daemon with an operator address under a fault script.
 class IoFaults : public ::testing::Test {
  protected:
   IoFaults()
@@ -20,7 +20,7 @@
   void configure() { folder_.write("config.json", config_text(options_)); }
   void faults(const std::string& script) {
     folder_.write("faults", script);
-    sleep_ms(20);  // the library looks every 2 ms
+    sleep_ms(20);  // the library polls the script every 2 ms
   }
   std::unique_ptr<Daemon> start() {
     configure();
@@ -40,7 +40,7 @@
     return nlohmann::json::parse(text.substr(0, text.find("\r\n")), nullptr, false);
   }
   int disabled() { return figures().value("targets_disabled", -1); }
-  /// Reads `count` keys one after the other; how many were served.
+  /// Reads `count` keys one after the other; returns how many were served.
   int read_keys(std::uint16_t port, const std::string& name, int count, int pause_ms = 0) {
     Client client(port);
     int served = 0;
@@ -66,23 +66,23 @@
   LongPollDiscovery discovery_;
   RouterOptions options_;
   std::mutex mutex_;
-  std::string unserved_;  // what came instead of a value
+  std::string unserved_;  // answers other than a value
 };
 
 constexpr char kFullDisk[] = "write,fdatasync,fsync path=.bans error=ENOSPC|EIO\n";
 
-TEST_F(IoFaults, ABanTakenOnAFullDiskIsNotForgottenAtTheNextBan) {
+TEST_F(IoFaults, ABanOnAFullDiskIsNotLostByTheNextBan) {
   auto daemon = start();
   faults(kFullDisk);
   call("OFFLINE s-0");
   EXPECT_EQ(disabled(), 1);
   faults("");
   EXPECT_EQ(call("OFFLINE s-1"), "SUCCESS\r\n");
-  sleep_ms(300);  // some looks at the file
+  sleep_ms(300);  // several polls of the file
   EXPECT_EQ(disabled(), 2);
 }
 
-TEST_F(IoFaults, ABanTakenOnAFullDiskOutlivesAKillOnceTheDiskTakesWrites) {
+TEST_F(IoFaults, ABanOnAFullDiskIsWrittenOnceTheDiskHasSpace) {
   auto daemon = start();
   faults(kFullDisk);
   call("OFFLINE s-0");
@@ -94,7 +94,7 @@
   EXPECT_EQ(disabled(), 2);
 }
 
-TEST_F(IoFaults, NoYesToABanThatWouldNotOutliveAKill) {
+TEST_F(IoFaults, ABanIsNotAcknowledgedBeforeItIsDurable) {
   auto daemon = start();
   faults(kFullDisk);
   bool promised = call("OFFLINE s-0") == "SUCCESS\r\n";
@@ -105,14 +105,14 @@
   EXPECT_FALSE(promised);
 }
 
-TEST_F(IoFaults, BansHoldWhileTheirFileCantBeRead) {
+TEST_F(IoFaults, BansHoldWhileTheBanLogCannotBeRead) {
   auto daemon = start();
   ASSERT_EQ(call("OFFLINE s-0"), "SUCCESS\r\n");
   faults("open,pread path=.bans error=EIO|ENFILE chance=0.5\n");
   std::string name = "violetusher-n0.bans";
   std::size_t before = first_.lines().size();
   for (int round = 0; round < 15; ++round) {
-    // Another process of this router puts a new file in its place.
+    // Another process of this router replaces the file.
     folder_.write(name, folder_.read(name) + "OFFLINE s-elsewhere\n");
     for (int k = 0; k < 10; ++k) {
       ASSERT_EQ(disabled(), 1);
@@ -123,7 +123,7 @@
   EXPECT_EQ(first_.lines().size(), before);
 }
 
-TEST_F(IoFaults, ANewProcessServesNothingBeforeItHasReadTheBans) {
+TEST_F(IoFaults, ANewProcessServesNothingBeforeTheBansAreRead) {
   auto daemon = start();
   ASSERT_EQ(call("OFFLINE s-0"), "SUCCESS\r\n");
   daemon->kill();
@@ -136,11 +136,11 @@
   EXPECT_EQ(first_.lines().size(), 0u);
 }
 
-TEST_F(IoFaults, ATornBanDoesNotBecomeAnotherServers) {
+TEST_F(IoFaults, APartiallyWrittenBanDoesNotBanAnotherServer) {
   discovery_.set_health("s-12", second_.address(), "active");
   auto daemon = start();
   ASSERT_TRUE(wait_until(kTestTimeoutMs, [&] { return figures().value("targets", 0) == 3; }));
-  // "OFFLINE s-1" of "OFFLINE s-12".
+  // Writes only "OFFLINE s-1" of "OFFLINE s-12".
   faults(
       "write path=.bans short=11 times=1\nwrite path=.bans error=ENOSPC skip=1\n"
       "ftruncate path=.bans error=EIO\n");
@@ -153,7 +153,7 @@
   EXPECT_EQ(folder_.read("violetusher-n0.bans").find("OFFLINE s-1\n"), std::string::npos);
 }
 
-TEST_F(IoFaults, ADiscoveryNamedInSettingsThatCouldNotBeReadIsHeardOnceTheyCan) {
+TEST_F(IoFaults, AReloadIsRetriedUntilTheSettingsCanBeRead) {
   auto daemon = start();
   LongPollDiscovery moved({{"s-0", first_.address()}, {"s-1", second_.address()}});
   options_.discovery = moved.address();
@@ -176,14 +176,14 @@
   EXPECT_TRUE(wait_until(3000, [&] { return moved.calls() > 0; })) << daemon->log();
 }
 
-TEST_F(IoFaults, ADrainIsHeardWhileNoSocketCanBeMade) {
+TEST_F(IoFaults, ADrainIsNoticedWhileNoSocketCanBeCreated) {
   options_.drain_grace_us = "500000";
   auto daemon = start();
   std::uint16_t port = daemon->port();
   ASSERT_GT(read_keys(port, "warm", 100), 0);
   ASSERT_GT(first_.lines().size(), 0u);
   faults("socket,connect error=ENFILE|ENOBUFS|EADDRNOTAVAIL\n");
-  sleep_ms(700);  // no watch of before is open any more
+  sleep_ms(700);  // the watch from before the faults has ended
   discovery_.set_health("s-0", first_.address(), "leaving");
   sleep_ms(550);
   std::size_t before = first_.lines().size();
@@ -191,7 +191,7 @@
   EXPECT_EQ(first_.lines().size(), before);
 }
 
-TEST_F(IoFaults, ADrainIsHeardInTimeWhileManyCallsFail) {
+TEST_F(IoFaults, ADrainIsNoticedInTimeWhileManyCallsFail) {
   auto daemon = start();
   std::uint16_t port = daemon->port();
   ASSERT_GT(read_keys(port, "warm", 50), 0);
@@ -211,7 +211,7 @@
   }
 }
 
-TEST_F(IoFaults, ARequestOnANewConnectionIsNotLostWhileAcceptIsOutOfFiles) {
+TEST_F(IoFaults, NoRequestIsLostWhileAcceptRunsOutOfDescriptors) {
   auto daemon = start();
   std::uint16_t port = daemon->port();
   faults("accept4 error=ENFILE|ENOBUFS|ENOMEM chance=0.5\n");
@@ -221,7 +221,7 @@
     clients.emplace_back([&, c] {
       for (int k = 0; k < 60; ++k) {
         Client client(port);
-        sleep_ms(k % 5);  // the request comes while the connection rests
+        sleep_ms(k % 5);  // the request arrives while the connection is idle
         std::string id = std::to_string(c) + "-" + std::to_string(k);
         client.send(read_command(id));
         client.line() == "VA 5 O" + id ? ++served : ++lost;
@@ -232,7 +232,7 @@
   EXPECT_EQ(served, 480);
 }
 
-TEST_F(IoFaults, ConnectionsThatWaitAtTheEndAreServedThoughAcceptFails) {
+TEST_F(IoFaults, PendingConnectionsAreServedAtShutdownAlthoughAcceptFails) {
   options_.deadline_us = "1000000";
   auto daemon = start();
   std::uint16_t port = daemon->port();
@@ -240,13 +240,13 @@
   Client client(port);
   client.send(read_command("late"));
   daemon->signal(SIGTERM);
-  sleep_ms(620);  // past the time at which it stops listening
+  sleep_ms(620);  // past the time at which the daemon stops listening
   faults("");
   EXPECT_EQ(client.line(), "VA 5 Olate");
   EXPECT_EQ(daemon->wait(), 0);
 }
 
-TEST_F(IoFaults, RequestsAreServedOverOpenConnectionsWhileDialsFailLocally) {
+TEST_F(IoFaults, OpenConnectionsServeRequestsWhileConnectFailsLocally) {
   auto daemon = start();
   std::uint16_t port = daemon->port();
   ASSERT_EQ(read_keys(port, "warm", 50), 50);
@@ -259,7 +259,7 @@
   EXPECT_EQ(served, 400) << unserved_;
 }
 
-TEST_F(IoFaults, AClockSteppedBeforeTheStartMakesNoColdServerWarm) {
+TEST_F(IoFaults, AClockStepBeforeTheStartDoesNotEndSlowStart) {
   options_.slow_start_us = "60000000";
   std::int64_t now_ms = std::time(nullptr) * std::int64_t{1000};
   discovery_.set_start_time("s-1", second_.address(), now_ms - 2000);
@@ -271,7 +271,7 @@
   EXPECT_GT(warm, 0u);
 }
 
-TEST_F(IoFaults, AStartOutlivesCallsThatFailForAMoment) {
+TEST_F(IoFaults, StartupSurvivesTransientFailures) {
   faults(
       "open path=config.json error=ENFILE|EIO times=3\n"
       "socket error=ENFILE|ENOBUFS times=4\n"
--- a/tests/daemon/process_support.hpp
+++ b/tests/daemon/process_support.hpp
@@ -1,5 +1,5 @@
-// The program itself for tests: started with a configuration of its own, perhaps under the fault
-// library, its log read, and ended with the object; and a discovery that holds watches.
+// Test support: runs the daemon as a process with its own configuration, optionally under the fault
+// injection library, and reads its log; and a discovery service that supports long-poll watches.
 #pragma once
 
 #include <signal.h>
@@ -22,7 +22,7 @@
 
 inline void sleep_ms(int ms) { std::this_thread::sleep_for(std::chrono::milliseconds(ms)); }
 
-/// Waits until `holds` is true, for `limit_ms` at most.
+/// Waits until `holds` returns true, for `limit_ms` at most.
 inline bool wait_until(int limit_ms, const std::function<bool()>& holds) {
   auto end = std::chrono::steady_clock::now() + std::chrono::milliseconds(limit_ms);
   do {
@@ -32,7 +32,7 @@
   return holds();
 }
 
-/// A folder that goes with the object.
+/// A directory that is removed with the object.
 class TemporaryDirectory {
  public:
   TemporaryDirectory() {
@@ -44,7 +44,7 @@
   ~TemporaryDirectory() { std::filesystem::remove_all(path_); }
   const std::string& path() const { return path_; }
   std::string file(const std::string& name) const { return path_ + "/" + name; }
-  /// Under the name at once and whole, as an editor or a roll-out puts it there.
+  /// Writes the file atomically, as an editor or a rollout does.
   void write(const std::string& name, const std::string& text) const {
     std::string fresh = file("." + name);
     std::ofstream(fresh, std::ios::trunc) << text;
@@ -59,12 +59,12 @@
   std::string path_;
 };
 
-/// One daemon. Its folder holds config.json, which the test writes, faults, its log, and what it
-/// keeps itself.
+/// A daemon process. Its directory holds config.json, written by the test, the fault script, its
+/// log, and its own state.
 class Daemon {
  public:
   struct Options {
-    bool faults = false;  ///< runs under the fault library, by the script "faults" in the folder
+    bool faults = false;  ///< runs under the fault library, with the script "faults"
     std::vector<std::string> arguments;
     std::vector<std::string> environment;  ///< NAME=VALUE
   };
@@ -83,7 +83,7 @@
     signal(SIGKILL);
     wait();
   }
-  /// Its exit code, or minus the signal that ended it.
+  /// Returns its exit code, or the negative number of the signal that ended it.
   int wait() {
     int status = 0;
     ::waitpid(pid_, &status, 0);
@@ -94,7 +94,7 @@
   bool logs(const std::string& what, int limit_ms = kTestTimeoutMs) const {
     return wait_until(limit_ms, [&] { return log().find(what) != std::string::npos; });
   }
-  /// Its port for clients, once it listens; 0 where it does not come to that.
+  /// Waits for its port for clients; 0 if it doesn't start to listen.
   std::uint16_t port() const {
     const std::string mark = "listens on 127.0.0.1:";
     if (!logs(mark)) return 0;
@@ -116,7 +116,7 @@
       settings.push_back("VIOLETUSHER_FAULTS=" + folder_.file("faults"));
       settings.push_back("VIOLETUSHER_FAULTS_LOG=" + folder_.file("faults.log"));
     }
-    // Another build of the daemon, which the tests are to fail on.
+    // Another build of the daemon, on which the tests are expected to fail.
     const char* planted = std::getenv("VIOLETUSHER_TESTED_PROGRAM");
     std::string program = planted ? planted : VIOLETUSHER_PROGRAM;
     pid_ = ::fork();
@@ -140,7 +140,7 @@
   pid_t pid_ = -1;
 };
 
-/// A port that nobody listens on now.
+/// A port without a listener at the moment.
 inline std::uint16_t free_port() {
   Fd fd(::socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0));
   sockaddr_in a = loopback(0);
@@ -150,8 +150,8 @@
   return ntohs(a.sin_port);
 }
 
-/// Discovery, or an agent that has its list: answers at once where there is news, holds watches for
-/// the time that they ask for, and keeps connections.
+/// A discovery service, or an agent with its list: answers at once if the list has changed, else
+/// holds a watch for the time it requests; connections are kept alive.
 class LongPollDiscovery {
  public:
   explicit LongPollDiscovery(const std::map<std::string, std::string>& dials)
@@ -182,7 +182,7 @@
   std::string address() const { return loopback_text(port_); }
   int calls() const { return calls_; }
   int connections() const { return connections_; }
-  /// The list names this start of the server, in milliseconds of Unix time.
+  /// Sets the server's start time in the list, in milliseconds of Unix time.
   void set_start_time(const std::string& id, const std::string& dial, std::int64_t born_ms) {
     std::lock_guard lock(mutex_);
     const std::string none = "\"born_ms\":0";
@@ -190,7 +190,7 @@
     entry.replace(entry.find(none), none.size(), "\"born_ms\":" + std::to_string(born_ms));
     entries_[id] = entry;
   }
-  /// From now on the server is told of as "leaving", "active" or "left".
+  /// Lists the server as "leaving", "active" or "left" from now on.
   void set_health(const std::string& id, const std::string& dial, const std::string& health) {
     std::lock_guard lock(mutex_);
     entries_[id] = host_entry(id, dial, health);
@@ -248,7 +248,7 @@
     return list(index + 1 != version_);
   }
 
-  /// Whole, or what changed last.
+  /// The full list, or the last change.
   std::string list(bool whole) const {
     std::vector<std::string> entries;
     for (const auto& [id, entry] : entries_)
--- a/tests/daemon/reload_test.cpp
+++ b/tests/daemon/reload_test.cpp
@@ -1,4 +1,4 @@
-// Discovery that moves, and configurations that can't be used.
+// Reloads: a discovery service at a new address, and invalid configurations.
 #include <sys/wait.h>
 
 #include <csignal>
@@ -15,7 +15,7 @@
          std::to_string(body.size()) + "\r\nConnection: close\r\n\r\n" + body;
 }
 
-/// Answers calls for the whole list; leaves those that may wait unanswered.
+/// Answers calls for the full list and holds all watches.
 LineServer::Reply discovery_with(const std::string& list) {
   return [list](const std::string& line, int) {
     bool whole = line.rfind("GET /discovery/hosts HTTP", 0) == 0;
@@ -23,15 +23,15 @@
   };
 }
 
-TEST(Reload, DiscoveryMovesAndItsListIsUsed) {
+TEST(Reload, TheListOfANewDiscoveryAddressIsUsed) {
   LineServer cache(good_cache);
   LineServer moved(discovery_with(host_list("7", {host_entry("s-new", cache.address())})));
-  RunningRouter router({});  // knows no server
+  RunningRouter router({});  // without any servers
   Client client(router.port());
   client.send(read_command("a1"));
   EXPECT_EQ(client.line().rfind("SERVER_ERROR", 0), 0u);
   Config config = router.config();
-  config.discovery = "nowhere";  // can't be used: the old one is kept
+  config.discovery = "nowhere";  // invalid: the old address stays in use
   router.post([&](Router& r) { r.reload(config); });
   config.discovery = moved.address();
   router.post([&](Router& r) { r.reload(config); });
@@ -41,8 +41,8 @@
   EXPECT_EQ(later.line(), "VA 5 Oa2");
 }
 
-/// The program itself: SIGHUP with good and bad files, then SIGTERM.
-TEST(Program, OutlivesReloadsAndEndsOnTerm) {
+/// The daemon process: SIGHUP with valid and invalid files, then SIGTERM.
+TEST(Program, SurvivesInvalidReloadsAndEndsOnSigterm) {
   LineServer cache(good_cache);
   std::string folder = ::testing::TempDir();
   std::string path = folder + "/violetusher-" + std::to_string(::getpid()) + ".json";
@@ -66,7 +66,7 @@
     while (said.find(what) == said.npos) {
       char bytes[512];
       ssize_t got = ::read(log[0], bytes, sizeof bytes);
-      if (got <= 0) return false;  // it has ended
+      if (got <= 0) return false;  // the process has ended
       said.append(bytes, static_cast<std::size_t>(got));
     }
     return true;
@@ -76,7 +76,7 @@
       std::atoi(said.c_str() + said.find("127.0.0.1:") + std::string("127.0.0.1:").size()));
   for (const std::string& text : {std::string("{"), std::string("[]"), good}) {
     said.clear();
-    ::kill(child, SIGUSR1);  // means nothing here
+    ::kill(child, SIGUSR1);  // has no function
     write(text);
     ::kill(child, SIGHUP);
     EXPECT_TRUE(wait_for("reload: ")) << text;
--- a/tests/net/ban_log_test.cpp
+++ b/tests/net/ban_log_test.cpp
@@ -1,4 +1,4 @@
-// The file of bans: two processes, torn lines, its bound.
+// The ban log: concurrent writers, partial lines, and compaction.
 #include "net/ban_log.hpp"
 
 #include <gtest/gtest.h>
@@ -27,7 +27,7 @@
   std::string folder_, path_;
 };
 
-/// What a process that follows the file holds for out.
+/// The servers that a process which reads the file considers banned.
 struct Follower {
   explicit Follower(const std::string& path) : reader(path) {}
   bool poll() {
@@ -45,11 +45,11 @@
   std::set<std::string> banned;
 };
 
-TEST_F(BanLogTest, TwoWritersAndALateReaderAgree) {
+TEST_F(BanLogTest, ReadersAgreeAcrossCompactions) {
   Follower a(path_), b(path_);
   std::set<std::string> model;
   std::mt19937 random(7);
-  for (int k = 0; k < 20'000; ++k) {  // past the bound many times
+  for (int k = 0; k < 20'000; ++k) {  // many compactions
     std::string id = "s-" + std::to_string(random() % 40);
     bool banned = random() % 2;
     ASSERT_TRUE(append(id, banned));
@@ -68,19 +68,19 @@
   EXPECT_LT(std::filesystem::file_size(path_), 2 * kCompactionThresholdBytes);
 }
 
-TEST_F(BanLogTest, TornAndForeignLinesSayNothing) {
+TEST_F(BanLogTest, PartialAndInvalidLinesAreIgnored) {
   Follower a(path_);
   ASSERT_TRUE(append("s-1", true));
   std::ofstream(path_, std::ios::app) << "nonsense\nOFFLINE \nHEALTH\n"
                                       << std::string(100'000, 'x') << "\nOFFLINE s-2";
   a.poll();
-  EXPECT_EQ(a.banned, std::set<std::string>{"s-1"});  // s-2's end has not come
-  ASSERT_TRUE(append("s-3", true));                   // in place of the torn line
+  EXPECT_EQ(a.banned, std::set<std::string>{"s-1"});  // the line of s-2 is incomplete
+  ASSERT_TRUE(append("s-3", true));                   // replaces the partial line
   a.poll();
   EXPECT_EQ(a.banned, (std::set<std::string>{"s-1", "s-3"}));
 }
 
-TEST_F(BanLogTest, ALineTornAtAnyByteNeverBecomesAnotherOne) {
+TEST_F(BanLogTest, APartialLineNeverMergesWithTheNextOne) {
   std::string line = "OFFLINE s-123456\n";
   for (std::size_t torn = 0; torn <= line.size(); ++torn) {
     std::ofstream(path_, std::ios::trunc) << "OFFLINE s-0\n" << line.substr(0, torn);
@@ -97,7 +97,7 @@
   }
 }
 
-TEST_F(BanLogTest, GarbageWithoutLinesIsReadInPartsAndWrittenAnew) {
+TEST_F(BanLogTest, GarbageWithoutLinesIsReadInPartsAndCompacted) {
   std::ofstream(path_, std::ios::trunc) << std::string(5u << 20, 'x');
   Follower a(path_);
   a.poll();
@@ -108,7 +108,7 @@
   EXPECT_LT(std::filesystem::file_size(path_), kCompactionThresholdBytes);
 }
 
-TEST_F(BanLogTest, WithoutAFolderNothingIsKept) {
+TEST_F(BanLogTest, AMissingDirectoryIsAnError) {
   EXPECT_FALSE(append_bans("", {{"s-1", true}}).done());
   EXPECT_FALSE(append_bans(folder_ + "/missing/bans", {{"s-1", true}}).done());
   BanLogReader none(folder_ + "/missing/bans");
--- a/tests/net/ban_store_test.cpp
+++ b/tests/net/ban_store_test.cpp
@@ -1,5 +1,5 @@
-// Bans that are in force at once, durable when they say so, and never taken back by a file that is
-// short, gone or foreign.
+// Bans must be in force at once, survive a kill once reported durable, and never be lifted by a ban
+// log that is truncated, missing or replaced.
 #include "net/ban_store.hpp"
 
 #include <gtest/gtest.h>
@@ -21,7 +21,7 @@
     path_ = folder_ + "/bans";
   }
   ~BanStoreTest() override { fs::remove_all(folder_); }
-  /// Advances until the promise is durable; false where it does not come to that.
+  /// Advances until the update is durable; false if that doesn't happen.
   static bool advance_until_durable(BanStore& store, BanStore::Sequence sequence) {
     Micros now = 0;
     for (int k = 0; k < 2000 && !store.is_durable(sequence); ++k) {
@@ -34,7 +34,7 @@
   using Ids = std::set<std::string>;
 };
 
-TEST_F(BanStoreTest, IsInForceAtOnceAndDurableForTheNextProcess) {
+TEST_F(BanStoreTest, ABanIsInForceAtOnceAndSurvivesTheProcess) {
   BanStore store(path_);
   BanStore::Sequence sequence = store.set_banned("s-1", true);
   EXPECT_EQ(store.banned(), Ids{"s-1"});
@@ -47,7 +47,7 @@
   EXPECT_EQ(next.banned(), Ids{"s-1"});
 }
 
-TEST_F(BanStoreTest, WhatCouldNotBeWrittenHoldsAndIsWrittenLater) {
+TEST_F(BanStoreTest, ABanThatCouldNotBeWrittenHoldsAndIsWrittenLater) {
   path_ = folder_ + "/missing/bans";
   BanStore store(path_);
   BanStore::Sequence first = store.set_banned("s-1", true);
@@ -67,7 +67,7 @@
   EXPECT_EQ(next.banned(), (Ids{"s-1", "s-2"}));
 }
 
-TEST_F(BanStoreTest, AFileThatIsGoneCutOffOrForeignTakesNoBanBack) {
+TEST_F(BanStoreTest, AMissingTruncatedOrReplacedFileLiftsNoBan) {
   BanStore store(path_);
   ASSERT_TRUE(advance_until_durable(store, store.set_banned("s-1", true)));
   store.advance(0);
@@ -87,11 +87,11 @@
   replace_file_with("ONLINE s-7\n");
 }
 
-TEST_F(BanStoreTest, AFolderInItsPlaceIsTroubleAndTheBanHolds) {
+TEST_F(BanStoreTest, ADirectoryAtThePathIsAnErrorAndTheBanHolds) {
   fs::create_directory(path_);
   BanStore store(path_);
   store.advance(0);
-  EXPECT_TRUE(store.loaded());  // it never can be read
+  EXPECT_TRUE(store.loaded());  // a permanent error
   store.set_banned("s-1", true);
   for (int k = 0; k < 30; ++k) {
     store.advance(k * 300 * kMillisecond);
@@ -101,7 +101,7 @@
   EXPECT_NE(store.error(), "");
 }
 
-TEST_F(BanStoreTest, AnotherProcessTakesBackByItsOwnLineAlone) {
+TEST_F(BanStoreTest, AnotherProcessLiftsABanOnlyByItsOwnLine) {
   BanStore a(path_), b(path_);
   ASSERT_TRUE(advance_until_durable(a, a.set_banned("s-1", true)));
   b.advance(0);
@@ -111,7 +111,7 @@
   EXPECT_EQ(a.banned(), Ids{});
 }
 
-TEST_F(BanStoreTest, WithoutAPathNothingIsKeptAndAllIsDurable) {
+TEST_F(BanStoreTest, WithoutAPathUpdatesCountAsDurable) {
   BanStore store("");
   EXPECT_TRUE(store.loaded());
   EXPECT_TRUE(store.is_durable(store.set_banned("s-1", true)));
--- a/tests/net/call_result_test.cpp
+++ b/tests/net/call_result_test.cpp
@@ -1,4 +1,4 @@
-// The table from errno to what it means.
+// The classification of errno values.
 #include "net/call_result.hpp"
 
 #include <gtest/gtest.h>
@@ -6,7 +6,7 @@
 namespace violetusher::net {
 namespace {
 
-TEST(CallResult, AShortageOfThisMachineIsNoWordOnAnythingElse) {
+TEST(CallResult, LocalShortagesAreTransient) {
   for (int error : {EMFILE, ENFILE, ENOBUFS, ENOMEM, ENOSPC, EDQUOT, EIO, EADDRNOTAVAIL,
                     ENETUNREACH, ENETDOWN, ENOLCK, EINTR})
     EXPECT_EQ(classify_error(error), CallResult::kTransientError) << error;
@@ -16,7 +16,7 @@
   EXPECT_EQ(classify_error(0), CallResult::kDone);
 }
 
-TEST(CallResult, AConnectionWithoutItsNetworkIsBroken) {
+TEST(CallResult, AnUnreachableNetworkBreaksAConnection) {
   for (int error : {ENETUNREACH, EHOSTUNREACH, ETIMEDOUT, ECONNRESET, EPIPE})
     EXPECT_EQ(classify_connection_error(error), CallResult::kPermanentError) << error;
   for (int error : {ENOBUFS, ENOMEM})
@@ -24,14 +24,14 @@
   EXPECT_EQ(classify_connection_error(EAGAIN), CallResult::kWouldBlock);
 }
 
-TEST(CallResult, AnAcceptThatLostItsConnectionGoesOnToTheNext) {
+TEST(CallResult, AcceptErrorsOfOneConnectionDontAffectTheNext) {
   for (int error : {ECONNABORTED, EPROTO, ENETUNREACH, EHOSTUNREACH})
     EXPECT_TRUE(affects_one_connection(error)) << error;
   for (int error : {EMFILE, ENFILE, ENOBUFS, ENOMEM, EAGAIN, EBADF})
     EXPECT_FALSE(affects_one_connection(error)) << error;
 }
 
-TEST(CallResult, InterruptedCallsAreMadeAgain) {
+TEST(CallResult, InterruptedCallsAreRetried) {
   int calls = 0;
   auto result = retry_interrupted([&] {
     errno = EINTR;
