--- a/tests/net/discovery_test.cpp
+++ b/tests/net/discovery_test.cpp
@@ -1,4 +1,4 @@
-// Discovery that falls silent, or answers what is no list, against the real router.
+// A discovery service that stops answering or sends invalid answers, against the real router.
 #include "net/discovery.hpp"
 
 #include "net_support.hpp"
@@ -13,7 +13,7 @@
 
 const std::string kSilence;
 
-/// Answers the n-th call with the n-th text, and those behind the last as the last one.
+/// Answers the n-th call with the n-th text, and all later calls with the last one.
 class Scripted {
  public:
   explicit Scripted(std::vector<std::string> answers)
@@ -24,7 +24,7 @@
         }) {}
   std::string address() const { return server_.address(); }
   std::size_t calls() const { return calls_; }
-  /// False where they do not come within `ms`.
+  /// Waits for so many calls; false if they don't arrive within `ms`.
   bool reaches(std::size_t calls, int ms) const {
     for (int k = 0; k < ms && calls_ < calls; ++k)
       std::this_thread::sleep_for(std::chrono::milliseconds(1));
@@ -37,10 +37,9 @@
   LineServer server_;
 };
 
-/// The users' report. A watch falls silent; a price cache begins to drain and stays up, so that
-/// nothing but discovery tells of it. What the watch missed counts as told 6 s after it fell
-/// silent.
-TEST(Membership, ASilentWatchKeepsNoRequestsGoingToALeavingPriceCache) {
+/// A watch stops answering while a cache server starts to drain and stays up, so that only
+/// discovery reports it. The router must learn of it within 6 s of the watch's failure.
+TEST(Membership, ADrainingServerIsNoticedAlthoughTheWatchStopsAnswering) {
   LineServer leaving(good_cache), staying(good_cache);
   std::vector<std::string> now = {host_entry("s-0", leaving.address(), "leaving"),
                                   host_entry("s-1", staying.address())};
@@ -62,9 +61,9 @@
   EXPECT_EQ(leaving.lines().size(), before);
 }
 
-/// The same where discovery is asked: the watch that says nothing is not waited for to its end, and
-/// nobody is told of a failure. Times are a fortieth of those in use.
-TEST(Membership, AnAskedWatchIsRenewedBesideTheSilentOne) {
+/// The same for a router that asks discovery explicitly: a second watch is started before the
+/// silent one times out, and no failure is reported. Times are a fortieth of those in production.
+TEST(Membership, ASecondWatchIsStartedBesideASilentOne) {
   struct RecordingHandler : Discovery::Handler {
     void on_hosts(HostList&& list, bool) override { version = list.version; }
     void on_hosts_failed() override { ++failed; }
@@ -86,7 +85,7 @@
   asked.watch();
   auto silent = io.alarm([] {});
   for (int k = 0; k < 3000 && handler.version != "2" && handler.failed == 0; ++k) {
-    silent->set(kMillisecond);  // so that nothing hangs where no call is made
+    silent->set(kMillisecond);  // keeps run_once() from blocking when no call is due
     io.run_once();
   }
   EXPECT_EQ(handler.version, "2");
@@ -94,8 +93,8 @@
   EXPECT_LT(asked.age(), 10 * kSecond);
 }
 
-/// Bad answers bring no price cache back that was announced as leaving, and stop no watch.
-TEST(Membership, BadAnswersChangeNothingButWhatIsSound) {
+/// Invalid and outdated answers must not restore a draining cache server, nor end the watch.
+TEST(Membership, InvalidAnswersDontRestoreADrainingServer) {
   LineServer leaving(good_cache), staying(good_cache), fresh(good_cache);
   std::string out = host_entry("s-0", leaving.address(), "leaving");
   std::string back = host_entry("s-0", leaving.address());
@@ -108,10 +107,10 @@
       "HTTP/1.1 200 OK\r\nContent-Length: 900\r\n\r\n{\"seq\":9,",
       "no HTTP at all\r\n\r\n",
       http("", "503 Service Unavailable"),
-      http(host_list("3", {back, stays})),                              // older than what is held
-      http(host_list("3", {back}, false)),                              // and as a change
-      http(host_list("8", {back, stays, out})),                         // twice
-      http(host_list("8", {host_entry("s-0", "x", "active"), stays})),  // no address
+      http(host_list("3", {back, stays})),       // older than the list in use
+      http(host_list("3", {back}, false)),       // the same as a delta
+      http(host_list("8", {back, stays, out})),  // listed twice
+      http(host_list("8", {host_entry("s-0", "x", "active"), stays})),  // invalid address
       http(host_list("8", {host_entry("s-0", leaving.address(), "well"), stays})),
       http(host_list("8", {"5", stays, out})),
       kSilence,
@@ -137,10 +136,9 @@
   EXPECT_FALSE(fresh.lines().empty());
 }
 
-/// A deployment far larger than the bench's: 350 routers, 1,024 price caches on one list that
-/// discovery then replaces whole, with the most descriptors that a router may have. No server is
-/// left out, and no more connections are open than fit.
-TEST(Size, AThousandPriceCachesAreAllUsedWithinTheDescriptors) {
+/// A large deployment: 350 routers and 1,024 cache servers, with a list that discovery then
+/// replaces completely. Every server must be used, within the descriptor limit of the router.
+TEST(Size, AThousandServersAreAllUsedWithinTheDescriptorLimit) {
   constexpr std::size_t kCaches = 1024, kAddresses = 8;
   std::vector<std::unique_ptr<LineServer>> caches;
   for (std::size_t k = 0; k < kAddresses; ++k)
@@ -169,12 +167,12 @@
   }
   EXPECT_LE(most, 334u);
   router.post([](Router& r) { EXPECT_EQ(r.server_pools(), 1024u); });
-  for (std::size_t k = 0; k < kAddresses; ++k)  // those of even places leave
+  for (std::size_t k = 0; k < kAddresses; ++k)  // those with even numbers drain
     EXPECT_EQ(caches[k]->lines().empty(), k % 2 == 0) << k;
 }
 
-/// An indented list is one (FLEET).
-TEST(Membership, AListMayComeIndented) {
+/// JSON with indentation is valid.
+TEST(Membership, AListMayBeIndented) {
   HostList list = parse_host_list(
       "{\n  \"seq\": 4,\n  \"whole\": true,\n  \"hosts\": [\n    {\n      \"host\": \"s-0\",\n"
       "      \"dial\": \"127.0.0.1:9\",\n      \"health\": \"leaving\"\n    }\n  ]\n}\n");
@@ -184,16 +182,16 @@
   EXPECT_EQ(list.fault, "");
 }
 
-/// Discovery that was restored from a copy counts from anew: who leaves stays so, unless it has
-/// started anew, until it is confirmed.
-TEST(HostRegistry, ADoubtedListBringsNobodyBack) {
+/// A discovery service restored from a backup restarts its sequence numbers. Until such a list is
+/// confirmed, draining servers stay draining unless they have restarted.
+TEST(HostRegistry, AnUnconfirmedListRestoresNoServer) {
   auto list = [](const std::string& seq, std::vector<std::string> entries) {
     return parse_host_list(host_list(seq, entries));
   };
   std::string a = host_entry("s-a", "127.0.0.1:1"), b = host_entry("s-b", "127.0.0.1:2"),
               c = host_entry("s-c", "127.0.0.1:3");
   HostRegistry book(list("8", {a, host_entry("s-b", "127.0.0.1:2", "leaving"), c}));
-  book.apply(list("9", {a, host_entry("s-b", "127.0.0.1:2", "leaving")}));  // s-c has left
+  book.apply(list("9", {a, host_entry("s-b", "127.0.0.1:2", "leaving")}));  // s-c is removed
   auto health = [&](const char* id) {
     auto found = violetusher::Health::Removed;
     book.each([&](const Host& h) {
--- a/tests/net/log_test.cpp
+++ b/tests/net/log_test.cpp
@@ -1,5 +1,4 @@
-// The log never waits: a pipe that nobody reads or whose reader has gone costs lines and nothing
-// else.
+// The log must never block: a pipe whose reader has stalled or closed it only loses lines.
 #include "net/log.hpp"
 
 #include <fcntl.h>
@@ -27,25 +26,25 @@
   Fd out, in;
 };
 
-TEST(Log, APipeThatNobodyReadsTakesWhatFitsAndTheRestIsCounted) {
+TEST(Log, AFullPipeDropsLinesAndCountsThem) {
   Pipe pipe;
   DescriptorSink sink(pipe.in.get());
   Log log(sink);
-  // Each event has its own bound: the pipe is full long before.
+  // Each event has its own rate limit; the pipe is full long before they apply.
   std::string text(3'000, 'x');
   for (int k = 0; k < 60; ++k)
     for (int n = 0; n < 5; ++n)
-      log.write(k, Log::Level::kInfo, "e" + std::to_string(k), text);  // would hang if it waited
+      log.write(k, Log::Level::kInfo, "e" + std::to_string(k), text);  // would hang if it blocked
   std::string first = pipe.read();
   EXPECT_GT(first.size(), 10'000u);
-  EXPECT_EQ(first.back(), '\n');  // whole lines alone
+  EXPECT_EQ(first.back(), '\n');  // complete lines only
   log.write(1'000, Log::Level::kInfo, "late", "again");
   std::string then = pipe.read();
   EXPECT_NE(then.find(" lines could not be written"), then.npos) << then;
   EXPECT_NE(then.find("violetusher: again\n"), then.npos);
 }
 
-TEST(Log, AReaderThatHasGoneIsHarmless) {
+TEST(Log, AClosedPipeIsHarmless) {
   ::signal(SIGPIPE, SIG_IGN);  // as the daemon has it
   Pipe pipe;
   DescriptorSink sink(pipe.in.get());
@@ -54,7 +53,7 @@
   for (int k = 0; k < 10; ++k) log.write(k, Log::Level::kInfo, "e", "text");
 }
 
-TEST(Log, LevelsBelowTheLeastAreLeftOut) {
+TEST(Log, LevelsBelowTheMinimumAreNotLogged) {
   Pipe pipe;
   DescriptorSink sink(pipe.in.get());
   Log log(sink);
--- a/tests/net/operations_test.cpp
+++ b/tests/net/operations_test.cpp
@@ -1,4 +1,4 @@
-// Operators at a running router: calls, figures, servers out and back, settings, replacement.
+// Operators' commands to a running router: metrics, bans, settings updates, process replacement.
 #include <cstdlib>
 #include <filesystem>
 #include <fstream>
@@ -32,7 +32,7 @@
   return port;
 }
 
-/// The whole answer to one call.
+/// The complete answer to one command.
 std::string call(RunningRouter& router, const std::string& line) {
   Client caller(operator_port(router));
   caller.send(line + "\r\n");
@@ -46,7 +46,7 @@
   return nlohmann::json::parse(text.substr(0, end));
 }
 
-/// Waits until `holds` is true, looked at from outside of the router's loop.
+/// Waits until `holds` returns true; called outside of the router's loop.
 bool until(const std::function<bool()>& holds) {
   for (int k = 0; k < kTestTimeoutMs / 20; ++k) {
     if (holds()) return true;
@@ -55,7 +55,7 @@
   return false;
 }
 
-/// Sends `count` reads of different keys, each answered.
+/// Sends `count` reads of different keys, and expects an answer to each.
 void read_many(RunningRouter& router, const std::string& name, int count) {
   Client client(router.port());
   for (int k = 0; k < count; ++k) {
@@ -66,10 +66,10 @@
   }
 }
 
-TEST(Operations, CallsAreAnsweredWhateverOthersDo) {
+TEST(Operations, CommandsAreAnsweredDespiteSilentConnections) {
   LineServer cache(good_cache);
   RunningRouter router(with_operator({cache.address()}));
-  std::vector<std::unique_ptr<Client>> silent;  // more than have room
+  std::vector<std::unique_ptr<Client>> silent;  // more than the limit
   for (int k = 0; k < 40; ++k) {
     silent.push_back(std::make_unique<Client>(operator_port(router)));
     if (k % 2) silent.back()->send("HEAL");
@@ -85,7 +85,7 @@
   EXPECT_EQ(half.read_all().rfind("FAILURE", 0), 0u);
 }
 
-TEST(Operations, FiguresTellWhatPeersSaw) {
+TEST(Operations, MetricsMatchWhatClientsAndServersSaw) {
   std::atomic<int> lines{0};
   LineServer cache([&](const std::string& line, int) {
     ++lines;
@@ -112,18 +112,18 @@
   ASSERT_TRUE(until([&] { return figures(router)["dispatches"] == lines.load(); }));
 }
 
-TEST(Operations, AServerThatIsOutGetsNothingUntilItIsBack) {
+TEST(Operations, ABannedServerGetsNoRequestsUntilTheBanIsLifted) {
   LineServer first(good_cache), second(good_cache);
   RunningRouter router(with_operator({first.address(), second.address()}));
   read_many(router, "a", 60);
   ASSERT_GT(first.lines().size(), 0u);
   EXPECT_EQ(call(router, "OFFLINE s-0"), "SUCCESS\r\n");
   std::size_t before = first.lines().size();
-  EXPECT_EQ(call(router, "OFFLINE s-0"), "SUCCESS\r\n");  // may come twice
+  EXPECT_EQ(call(router, "OFFLINE s-0"), "SUCCESS\r\n");  // repeating it is allowed
   EXPECT_EQ(figures(router)["targets_disabled"], 1);
   read_many(router, "b", 100);
   EXPECT_EQ(first.lines().size(), before);
-  EXPECT_EQ(call(router, "ONLINE s-0"), "SUCCESS\r\n");  // one undoes both
+  EXPECT_EQ(call(router, "ONLINE s-0"), "SUCCESS\r\n");  // lifts both
   EXPECT_EQ(figures(router)["targets_disabled"], 0);
   read_many(router, "c", 100);
   EXPECT_GT(first.lines().size(), before);
@@ -138,7 +138,7 @@
   return h;
 }
 
-TEST(HostRegistry, ABanOutlivesWhatDiscoverySays) {
+TEST(HostRegistry, ABanIsIndependentOfDiscovery) {
   using violetusher::Health;
   HostRegistry book({"1", true, {host("a", Health::Ready), host("b", Health::Ready)}});
   EXPECT_EQ(book.set_banned("a", true).hosts.at(0).server.health, Health::Draining);
@@ -147,7 +147,7 @@
   EXPECT_EQ(restarted.hosts[0].server.health, Health::Draining);
   auto left = book.apply({"3", false, {host("a", Health::Removed)}});
   EXPECT_EQ(left.hosts[0].server.health, Health::Removed);
-  EXPECT_TRUE(book.known("a"));  // it can still be put back
+  EXPECT_TRUE(book.known("a"));  // its ban can still be lifted
   EXPECT_EQ(book.size(), 1u);
   auto again = book.apply({"4", true, {host("a", Health::Ready, 9), host("b", Health::Ready)}});
   EXPECT_EQ(again.hosts[0].server.health, Health::Draining);
@@ -156,10 +156,10 @@
   ASSERT_EQ(back.hosts.size(), 1u);
   EXPECT_FALSE(back.whole);
   EXPECT_EQ(back.hosts[0].server.health, Health::Ready);
-  EXPECT_EQ(back.hosts[0].server.up_since, 9);  // cold since its restart
+  EXPECT_EQ(back.hosts[0].server.up_since, 9);  // in slow start since its restart
 }
 
-TEST(Operations, BansHoldAcrossAReplacement) {
+TEST(Operations, BansHoldAcrossAProcessReplacement) {
   Folder folder;
   LineServer first(good_cache), second(good_cache);
   RouterOptions options = with_operator({first.address(), second.address()});
@@ -168,7 +168,7 @@
   EXPECT_EQ(call(*old, "OFFLINE s-0"), "SUCCESS\r\n");
   RunningRouter fresh(options);
   EXPECT_EQ(figures(fresh)["targets_disabled"], 1);
-  // Either may be called while both are there.
+  // While both run, commands may go to either.
   EXPECT_EQ(call(*old, "ONLINE s-0"), "SUCCESS\r\n");
   ASSERT_TRUE(until([&] { return figures(fresh)["targets_disabled"] == 0; }));
   EXPECT_EQ(call(fresh, "OFFLINE s-1"), "SUCCESS\r\n");
@@ -178,7 +178,7 @@
   EXPECT_EQ(second.lines().size(), 0u);
 }
 
-TEST(Replacement, BothAcceptFromTheSharedListenerAndNoRequestIsLost) {
+TEST(Replacement, NoRequestIsLostOnASharedListener) {
   LineServer cache(good_cache);
   EventBasePtr base(event_base_new());
   SystemIo io(base.get());
@@ -197,7 +197,7 @@
   std::vector<std::thread> clients;
   for (int c = 0; c < 4; ++c)
     clients.emplace_back([&, c] {
-      for (int k = 0; !stop; ++k) {  // each on a new connection, as some clients do
+      for (int k = 0; !stop; ++k) {  // a new connection for each, as some clients do
         Client client(port);
         std::string id = std::to_string(c) + "-" + std::to_string(k);
         client.send(read_command(id));
@@ -208,7 +208,7 @@
     auto fresh = start();
     int before = served;
     ASSERT_TRUE(until([&] { return served > before + 50; }));
-    old = std::move(fresh);  // the old one ends
+    old = std::move(fresh);  // destroys the old one
   }
   stop = true;
   for (auto& client : clients) client.join();
@@ -216,7 +216,7 @@
   EXPECT_GT(served, 150);
 }
 
-TEST(Replacement, WhatIsNoListenerIsRefused) {
+TEST(Replacement, ADescriptorThatIsNotListeningIsRejected) {
   EventBasePtr base(event_base_new());
   SystemIo io(base.get());
   std::string error;
@@ -224,10 +224,10 @@
   EXPECT_FALSE(error.empty());
   Fd plain(::socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0));
   EXPECT_FALSE(io.adopt(plain.get(), error));
-  EXPECT_EQ(error, "no listening socket");
+  EXPECT_EQ(error, "not a listening socket");
 }
 
-TEST(Retune, NewClassesServeOldOnesGoAndOpenRequestsStay) {
+TEST(SettingsUpdate, AddsAndRemovesClassesAndKeepsOpenRequests) {
   std::atomic<bool> hold{true};
   LineServer cache([&](const std::string& line, int) {
     while (hold && id_of(line) == "open") std::this_thread::yield();
@@ -243,7 +243,7 @@
   hold = false;
   EXPECT_EQ(client.line(), "VA 5 Oopen");
   EXPECT_EQ(client.line(), "price");
-  for (const char* type : {"read", "read-v2"}) {  // both, while clients change over
+  for (const char* type : {"read", "read-v2"}) {  // both are valid during the transition
     client.send("mg k v O" + std::string(type) + " Pc=" + type + ",t=acme,d=1500\r\n");
     EXPECT_EQ(client.line(), "VA 5 O" + std::string(type));
     client.line();
@@ -254,7 +254,7 @@
   EXPECT_EQ(figures(router)["success"], (nlohmann::json{{"put", 0}, {"read", 2}, {"read-v2", 1}}));
 }
 
-TEST(Retune, BrokenFilesChangeNothing) {
+TEST(SettingsUpdate, InvalidFilesAreRejected) {
   Folder folder;
   std::string path = folder.path + "/config.json";
   std::string good = config_text({.dials = {"127.0.0.1:9"}});
@@ -271,7 +271,7 @@
     ++broken;
   };
   for (std::size_t cut = 0; cut < good.size(); cut += 7) expect_broken(good.substr(0, cut));
-  // Without any one key, at any depth.
+  // With any one key removed, at any depth.
   auto each_key = [&](auto& self, nlohmann::json& at) -> void {
     if (at.is_array() && !at.empty() && at.front().is_object())
       for (auto& item : at) self(self, item);
--- a/tests/net/operator_test.cpp
+++ b/tests/net/operator_test.cpp
@@ -1,4 +1,4 @@
-// Routes, pools, limits and budgets of an operator file on real sockets.
+// Routes, pools, limits and budgets of an operator file, on real sockets.
 #include <sys/wait.h>
 
 #include <fstream>
@@ -48,21 +48,22 @@
                       "route rest { class = read; pool = all; }\n");
   EXPECT_EQ(ask(router.port(), "1", "b:x"), "from-b");
   EXPECT_EQ(ask(router.port(), "2", "z"), "listed");
-  EXPECT_EQ(ask(router.port(), "3", "a:x"), "listed");  // the class comes before the prefix
+  EXPECT_EQ(ask(router.port(), "3", "a:x"),
+            "listed");  // the class takes precedence over the prefix
   EXPECT_EQ(a.lines().size(), 0u);
 }
 
-TEST(Operator, NoRouteIsRefusedAtOnce) {
+TEST(Operator, ARequestWithoutARouteIsRefusedAtOnce) {
   LineServer listed(good_cache);
   RunningRouter router({.dials = {listed.address()}});
   operate(router, "pool p { }\nroute r { prefix = \"a:\"; pool = p; }\n");
   EXPECT_EQ(ask(router.port(), "1", "z"), "SERVER_ERROR busy");
   EXPECT_EQ(listed.lines().size(), 0u);
   EXPECT_TRUE(router.eventually([](Router& r) { return r.open_requests() == 0; }));
-  EXPECT_EQ(ask(router.port(), "1", "a:z"), "price");  // the id is free again
+  EXPECT_EQ(ask(router.port(), "1", "a:z"), "price");  // the id can be used again
 }
 
-TEST(Operator, SelectsItsPoolFromTheList) {
+TEST(Operator, APoolIsSelectedFromTheHostList) {
   LineServer one(serves("one")), two(serves("two"));
   RunningRouter router({.dials = {one.address(), two.address()}});
   operate(router, "pool p { hosts = [\"*-1\"]; }\nroute r { pool = p; }\n");
@@ -71,7 +72,7 @@
   EXPECT_EQ(one.lines().size(), 0u);
 }
 
-TEST(Operator, OverTheRateIsRefusedWithTheTimeWhereAllowed) {
+TEST(Operator, ARefusalByTheRateLimitGivesARetryTime) {
   LineServer listed(good_cache);
   RouterOptions options{.dials = {listed.address()}};
   options.retry_after = true;
@@ -95,7 +96,7 @@
   EXPECT_EQ(listed.lines().size(), static_cast<std::size_t>(served));
 }
 
-TEST(Operator, InFlightIsFreedHoweverARequestEnds) {
+TEST(Operator, TheInFlightLimitIsReleasedOnTimeoutAndDisconnect) {
   LineServer silent([](const std::string&, int) { return std::string(); });
   RunningRouter router({.dials = {silent.address()}});
   operate(router, "limit few { in_flight = 2; }\npool p { limit = few; }\nroute r { pool = p; }\n");
@@ -105,7 +106,7 @@
     b.send(read_command("b", "k1", "200"));
     ASSERT_TRUE(router.eventually([](Router& r) { return r.open_requests() == 2; }));
     EXPECT_EQ(ask(router.port(), "c"), "SERVER_ERROR busy");
-    EXPECT_NE(b.line(), "");  // its time is over; a leaves
+    EXPECT_NE(b.line(), "");  // b times out; a disconnects
   }
   ASSERT_TRUE(router.eventually([](Router& r) { return r.open_requests() == 0; }));
   Client c(router.port()), d(router.port());
@@ -114,7 +115,7 @@
   EXPECT_TRUE(router.eventually([](Router& r) { return r.open_requests() == 2; }));
 }
 
-TEST(Operator, ABudgetOfNothingAllowsNoRetry) {
+TEST(Operator, ABudgetOfZeroAllowsNoRetry) {
   auto fails = [](const std::string&, int) { return std::string("SERVER_ERROR busy\r\n"); };
   for (bool budget : {false, true}) {
     LineServer one(fails), two(fails);
@@ -132,21 +133,22 @@
   }
 }
 
-TEST(Operator, FallsOverWhereTheFirstPoolHasNobody) {
+TEST(Operator, FailsOverIfTheFirstPoolHasNoServers) {
   LineServer second(serves("second"));
   RunningRouter router({});
   operate(router, "pool first { halls = [nowhere]; }\n" + pool("other", second) +
                       "route r { pool = first; fallbacks = [other]; }\n");
   EXPECT_EQ(ask(router.port(), "1"), "second");
-  // A keyed write may have run in the first pool: fixed addresses don't drop its repeats.
+  // A keyed write may have run in the first pool, and servers of a static pool don't deduplicate
+  // it.
   Client client(router.port());
   client.send("ms k 2 O2 Pc=put,t=acme,d=300,k=s1\r\nhi\r\n");
   EXPECT_EQ(client.line().rfind("SERVER_ERROR", 0), 0u);
   EXPECT_EQ(second.lines().size(), 1u);
 }
 
-/// Requests that are out finish in the pool that they began in; pools that go are freed.
-TEST(Operator, ReloadsFiftyTimesUnderLoadAndLosesNothing) {
+/// Requests in progress finish in the pool that they started in; removed pools are freed.
+TEST(Operator, FiftyReloadsUnderLoadLoseNoRequest) {
   std::atomic<bool> stop{false};
   std::atomic<int> asked{0}, served{0};
   auto slow = [](const std::string& line, int) {
@@ -181,7 +183,7 @@
   EXPECT_EQ(served, asked);
   EXPECT_GT(a.lines().size(), 20u);
   EXPECT_GT(b.lines().size(), 20u);
-  // That of the whole list and the one in use are left once nothing is out.
+  // Only the pool of the full list and the one in use remain once no request is open.
   operate(router, version(50));
   EXPECT_TRUE(
       router.eventually([](Router& r) { return r.pools() == 2 && r.open_requests() == 0; }));
@@ -207,7 +209,7 @@
   there = true;
   ++seq;
   Config config = router.config();
-  router.post([&](Router& r) { r.reload(config); });  // asks for the whole list
+  router.post([&](Router& r) { r.reload(config); });  // requests the full list
   ASSERT_TRUE(router.eventually([](Router& r) { return r.server_pools() == 1; }));
   EXPECT_EQ(ask(router.port(), "2"), "price");
 }
@@ -216,12 +218,12 @@
   return "listener " + name + " { address = \"" + loopback_text(port) + "\"; }\n";
 }
 
-/// A port that nothing listens on at the moment.
+/// A port without a listener at the moment.
 std::uint16_t free_port() {
   return LineServer([](const std::string&, int) { return ""; }).port();
 }
 
-TEST(Operator, RoutesByListenerWhichComeAndGoWithTheFile) {
+TEST(Operator, ListenersAreAddedAndRemovedWithTheFile) {
   LineServer a(serves("from-a")), b(serves("from-b"));
   RunningRouter router({});
   std::uint16_t port = free_port();
@@ -249,11 +251,11 @@
   kept.send(read_command("3"));
   EXPECT_EQ(kept.line().rfind("VA", 0), 0u);
   EXPECT_EQ(kept.line(), "from-b");
-  // One whose address is taken changes nothing.
+  // A listener whose address is in use changes nothing.
   LineServer taken(good_cache);
   EXPECT_NE(serve(text(listener("side", taken.port()))).find("side"), std::string::npos);
   EXPECT_EQ(ask(port, "4"), "from-b");
-  // A name that goes listens no more; a connection that came by it goes on, by the other routes.
+  // A removed listener stops listening; its connections stay open and use the other routes.
   ASSERT_EQ(serve(text("")), "");
   EXPECT_FALSE(Client(port).connected());
   kept.send(read_command("5"));
@@ -262,8 +264,8 @@
   EXPECT_EQ(ask(router.port(), "6"), "from-a");
 }
 
-/// Two tenants that each ask for ten times the pool's places: both get their share of it.
-TEST(Operator, SharesHoldForTwoTenantsAtTenTimesTheirs) {
+/// Two tenants each send ten times the pool's in-flight limit: both are served by their shares.
+TEST(Operator, SharesHoldForTwoTenantsAtTenTimesTheLimit) {
   auto slow = [](const std::string& line, int) {
     std::this_thread::sleep_for(std::chrono::microseconds(200));
     return value_for(line);
@@ -299,8 +301,8 @@
   EXPECT_TRUE(router.eventually([](Router& r) { return r.open_requests() == 0; }));
 }
 
-/// A keyed write that has run, or may have, ends in the pool that it began in when its route goes.
-TEST(Operator, ARouteThatGoesTakesNoKeyedWriteAlong) {
+/// A keyed write that may have run stays in the pool that it started in when its route is removed.
+TEST(Operator, ARemovedRouteDoesNotMoveAKeyedWrite) {
   std::atomic<bool> answer{false};
   LineServer first([&](const std::string& line, int) -> std::string {
     while (!answer) std::this_thread::sleep_for(std::chrono::milliseconds(1));
@@ -337,7 +339,7 @@
   return WIFEXITED(status) ? WEXITSTATUS(status) : -1;
 }
 
-TEST(Program, ChecksWithoutStarting) {
+TEST(Program, CheckReportsErrorsByExitCode) {
   std::string base = ::testing::TempDir() + "/operator-" + std::to_string(::getpid());
   auto write = [&](const std::string& name, const std::string& text) {
     std::ofstream(base + name) << text;
--- a/tests/net/peer_transport_test.cpp
+++ b/tests/net/peer_transport_test.cpp
@@ -1,4 +1,4 @@
-// Links between routers, on sockets and one loop.
+// The transport between routers, on real sockets in one event loop.
 #include "net/peer_transport.hpp"
 
 #include <gtest/gtest.h>
@@ -40,7 +40,7 @@
   std::vector<std::string> received_a_, received_b_;
 };
 
-TEST_F(PeerTransportTest, FramesComeWholeAndInOrderHoweverLarge) {
+TEST_F(PeerTransportTest, FramesOfAnySizeArriveCompleteAndInOrder) {
   auto b = make("", received_b_);
   auto a = make(address(*b), received_a_);
   std::string large(3u << 20, 'x');
@@ -55,14 +55,14 @@
   EXPECT_TRUE(received_a_.empty());
 }
 
-TEST_F(PeerTransportTest, WhoComesBackIsReachedAgain) {
+TEST_F(PeerTransportTest, ReconnectsToARestartedPeer) {
   auto b = make("", received_b_);
   auto a = make(address(*b), received_a_);
   a->send("other", "one");
   ASSERT_TRUE(run_until([&] { return received_b_.size() == 1; }));
   sockaddr_in where = *parse_address(address(*b));
   b.reset();
-  // Nobody there: what is sent is lost, and nothing piles up.
+  // Without a listener, frames are dropped and nothing accumulates.
   std::unique_ptr<Alarm> again = io_.alarm([&] {
     a->send("other", "again");
     again->set(20 * kMillisecond);
@@ -80,7 +80,7 @@
   EXPECT_TRUE(run_until([&] { return received_b_.size() > 3; }));
 }
 
-TEST_F(PeerTransportTest, BytesThatAreNoFrameEndTheConnectionAndNothingElse) {
+TEST_F(PeerTransportTest, InvalidFramesCloseOnlyTheirConnection) {
   auto b = make("", received_b_);
   auto a = make(address(*b), received_a_);
   sockaddr_in to = *parse_address(address(*b));
@@ -99,7 +99,7 @@
   EXPECT_EQ(received_b_[0], "good");
 }
 
-TEST_F(PeerTransportTest, WhatComesInPiecesIsOneFrame) {
+TEST_F(PeerTransportTest, FramesAreReassembledFromSingleBytes) {
   std::string bytes = PeerTransport::encode_frame("first") + PeerTransport::encode_frame("second"),
               in, frame;
   std::vector<std::string> frames;
--- a/tests/net/seam_test.cpp
+++ b/tests/net/seam_test.cpp
@@ -1,5 +1,6 @@
-// Time, timers, randomness and sockets reach src/net and src/core through net/io.hpp alone, so that
-// another world can stand behind it. What is looked for here is what would go around it.
+// src/net and src/core use the clock, timers, randomness and sockets only through net/io.hpp, so
+// that a simulated network can implement it. These tests search the sources for calls that bypass
+// it.
 #include <gtest/gtest.h>
 
 #include <filesystem>
@@ -13,13 +14,13 @@
 
 namespace fs = std::filesystem;
 
-/// The files that are the system behind the seam, or read files at the start and at a reload.
+/// Files that implement the interface, or access files and descriptors.
 const std::set<std::string> kSystem = {"net/system_io.hpp", "net/system_io.cpp",
                                        "net/flight_file.cpp", "net/log_sink.cpp",
                                        "net/file_io.cpp"};
 
 std::string goes_around(const std::string& line) {
-  // In parts, as a raw string can't be broken.
+  // In parts, since a raw string can't be wrapped.
   static const std::string kPattern =
       std::string(R"((^|[^\w>])::(socket|connect|accept4?|bind|listen|recv|recvmsg|send)\s*\()") +
       R"(|(^|[^\w>])::(sendmsg|read|write|close|poll|shutdown|setsockopt|getsockopt)\s*\()" +
@@ -31,7 +32,7 @@
   return std::regex_search(line, found, kCall) ? found.str() : std::string();
 }
 
-TEST(Seam, NothingGoesAroundIt) {
+TEST(IoInterface, IsNotBypassed) {
   int files = 0;
   for (const char* folder : {"net", "core", "protocol", "policy"})
     for (const auto& entry :
@@ -50,7 +51,7 @@
   EXPECT_GT(files, 40);
 }
 
-TEST(Seam, TheSearchFindsWhatItIsFor) {
+TEST(IoInterface, TheSearchFindsBypasses) {
   for (const char* line :
        {"  int fd = ::socket(AF_INET, 0, 0);", "auto t = std::chrono::steady_clock::now();",
         "std::random_device d;", "  event_add(e, nullptr);", "#include <event2/http.h>"})
