--- a/src/core/config/diff.cpp
+++ b/src/core/config/diff.cpp
@@ -200,7 +200,7 @@
     auto text = [](const Model& m) {
       if (m.ledgers.empty()) return std::string("off");
       const Ledger& l = m.ledgers.begin()->second;
-      return l.fleet + " in " + l.folder + ", " + (l.may_vote ? "may vote" : "follower") + ", " +
+      return l.fleet + " in " + l.folder + ", " + (l.may_vote ? "may vote" : "follows") + ", " +
              std::to_string(l.voters) + " voters, " + std::to_string(m.peers.size()) + " peers, " +
              std::to_string(m.rollouts.size()) + " rolled-out files";
     };
--- a/src/core/config/moved_keys.hpp
+++ b/src/core/config/moved_keys.hpp
@@ -14,8 +14,8 @@
 struct MovedKeys {
   RouteMatch match;           ///< the least specific match with this change
   std::string before, after;  ///< pools; empty = no route
-  double share = 0;           ///< fraction of keys whose server differs
-  double nobody = 0;          ///< fraction of keys without a server afterwards
+  double share = 0;           ///< fraction of keys whose server differs, 0 to 1
+  double nobody = 0;          ///< fraction of keys without a server afterwards, 0 to 1
 };
 
 /// For each pair of pools that requests go to before and after: the share of `keys` sample keys
--- a/src/net/ban_log.cpp
+++ b/src/net/ban_log.cpp
@@ -20,9 +20,9 @@
 
 std::optional<BanLine> parse_line(std::string_view text) {
   std::string error;
-  auto call = core::ops::parse_command(text, error);
-  if (!call || call->id.empty()) return std::nullopt;
-  return BanLine{call->id, call->kind == core::ops::OperatorCommand::Kind::kOffline};
+  auto command = core::ops::parse_command(text, error);
+  if (!command || command->id.empty()) return std::nullopt;
+  return BanLine{command->id, command->kind == core::ops::OperatorCommand::Kind::kOffline};
 }
 
 /// Sets `is_current` to false if the path has been replaced or removed since the file was opened.
@@ -54,11 +54,11 @@
 CallStatus end_of_lines(const File& file, std::int64_t size, std::int64_t& end) {
   char tail[core::ops::kMaxCommandBytes];
   std::int64_t from = std::max<std::int64_t>(0, size - static_cast<std::int64_t>(sizeof tail));
-  std::size_t got = 0;
-  CallStatus status = file.read_at(from, tail, static_cast<std::size_t>(size - from), got);
+  std::size_t received = 0;
+  CallStatus status = file.read_at(from, tail, static_cast<std::size_t>(size - from), received);
   if (!status.done()) return status;
-  if (from + static_cast<std::int64_t>(got) != size) return CallStatus::failed(EAGAIN);
-  std::size_t newline = std::string_view(tail, got).rfind('\n');
+  if (from + static_cast<std::int64_t>(received) != size) return CallStatus::failed(EAGAIN);
+  std::size_t newline = std::string_view(tail, received).rfind('\n');
   if (newline != std::string_view::npos)
     end = from + static_cast<std::int64_t>(newline) + 1;
   else
@@ -70,10 +70,10 @@
   std::string text(kMaxReadBytes, '\0');
   std::size_t kept = 0;
   for (std::int64_t at = 0;;) {
-    std::size_t got = 0;
-    CallStatus status = file.read_at(at, text.data() + kept, kMaxReadBytes - kept, got);
+    std::size_t received = 0;
+    CallStatus status = file.read_at(at, text.data() + kept, kMaxReadBytes - kept, received);
     if (!status.done()) return status;
-    std::string_view rest(text.data(), kept + got);
+    std::string_view rest(text.data(), kept + received);
     for (std::size_t end; (end = rest.find('\n')) != rest.npos; rest.remove_prefix(end + 1)) {
       auto line = parse_line(rest.substr(0, end));
       if (!line) continue;
@@ -82,8 +82,8 @@
       else if (banned.size() < kMaxBans)
         banned.insert(line->id);
     }
-    if (got == 0) return {};
-    at += static_cast<std::int64_t>(got);
+    if (received == 0) return {};
+    at += static_cast<std::int64_t>(received);
     // An overlong line is dropped as a whole.
     kept = rest.size() > core::ops::kMaxCommandBytes ? 0 : rest.size();
     std::copy(rest.end() - static_cast<std::ptrdiff_t>(kept), rest.end(), text.begin());
@@ -113,8 +113,8 @@
   if (!status.done()) return status;
   std::string text;
   char last = '\n';
-  std::size_t got = 0;
-  if (end > 0) status = file.read_at(end - 1, &last, 1, got);
+  std::size_t received = 0;
+  if (end > 0) status = file.read_at(end - 1, &last, 1, received);
   if (!status.done()) return status;
   if (last != '\n') text = "\n";
   for (const BanLine& line : lines) text += text_of(line);
@@ -162,16 +162,16 @@
   }
   auto remaining = static_cast<std::size_t>(info.st_size - from);
   std::string bytes(std::min(remaining, kMaxReadBytes), '\0');
-  std::size_t got = 0;
-  status = file.read_at(from, bytes.data(), bytes.size(), got);
+  std::size_t received = 0;
+  status = file.read_at(from, bytes.data(), bytes.size(), received);
   if (!status.done()) return status;
   if (replaced) {
     inode_ = info.st_ino;
     offset_ = 0;
     too_long_ = compacted_ = false;
   }
-  at_end_ = got == remaining;
-  parse(std::string_view(bytes.data(), got));
+  at_end_ = received == remaining;
+  parse(std::string_view(bytes.data(), received));
   if (replaced)
     update = compacted_ && at_end_ ? Update::kCompacted : Update::kReplaced;
   else if (!lines_.empty())
--- a/src/net/file_io.cpp
+++ b/src/net/file_io.cpp
@@ -50,16 +50,17 @@
 
 CallStatus File::info(struct stat& info) const { return status_of(::fstat(descriptor_, &info)); }
 
-CallStatus File::read_at(std::int64_t offset, char* to, std::size_t size, std::size_t& got) const {
-  got = 0;
-  while (got < size) {
+CallStatus File::read_at(std::int64_t offset, char* to, std::size_t size,
+                         std::size_t& received) const {
+  received = 0;
+  while (received < size) {
     ssize_t count = retry_interrupted([&] {
-      return ::pread(descriptor_, to + got, size - got,
-                     static_cast<off_t>(offset + static_cast<std::int64_t>(got)));
+      return ::pread(descriptor_, to + received, size - received,
+                     static_cast<off_t>(offset + static_cast<std::int64_t>(received)));
     });
     if (count < 0) return CallStatus::failed();
     if (count == 0) break;
-    got += static_cast<std::size_t>(count);
+    received += static_cast<std::size_t>(count);
   }
   return {};
 }
@@ -104,9 +105,9 @@
   auto size = static_cast<std::size_t>(info.st_size);
   if (size > max_bytes) return CallStatus::failed(EFBIG);
   text.resize(size);
-  std::size_t got = 0;
-  status = file.read_at(0, text.data(), size, got);
-  text.resize(got);
+  std::size_t received = 0;
+  status = file.read_at(0, text.data(), size, received);
+  text.resize(received);
   if (!status.done()) text.clear();
   return status;
 }
--- a/src/net/file_io.hpp
+++ b/src/net/file_io.hpp
@@ -31,7 +31,7 @@
   CallStatus info(struct stat& info) const;
   /// Reads until `size` bytes or the end of the file; `got` is the number of bytes read, also on
   /// failure.
-  CallStatus read_at(std::int64_t offset, char* to, std::size_t size, std::size_t& got) const;
+  CallStatus read_at(std::int64_t offset, char* to, std::size_t size, std::size_t& received) const;
   /// Writes all of `text`; on failure a part of it may be in the file.
   CallStatus write(std::string_view text);
   CallStatus truncate(std::int64_t size);
--- a/src/net/log.cpp
+++ b/src/net/log.cpp
@@ -12,9 +12,9 @@
     return sink_.write(core::log::format_line(format_, now, Level::kWarn, "log-lines-lost", notice,
                                               {{"lines", static_cast<std::int64_t>(count)}}));
   };
-  if (lost_ > 0 && write_notice("could not be written", lost_)) lost_ = 0;
+  if (dropped_ > 0 && write_notice("could not be written", dropped_)) dropped_ = 0;
   if (suppressed > 0) write_notice("of '" + std::string(event) + "' were suppressed", suppressed);
-  if (!sink_.write(core::log::format_line(format_, now, level, event, text, fields))) ++lost_;
+  if (!sink_.write(core::log::format_line(format_, now, level, event, text, fields))) ++dropped_;
 }
 
 }  // namespace violetusher::net
--- a/src/net/log.hpp
+++ b/src/net/log.hpp
@@ -47,7 +47,7 @@
   core::log::Format format_ = core::log::Format::kText;
   Level min_level_ = Level::kInfo;
   core::log::EventRateLimiter rate_limiter_;
-  std::uint64_t lost_ = 0;  // lines that the sink did not accept
+  std::uint64_t dropped_ = 0;  // lines that the sink did not accept
 };
 
 }  // namespace violetusher::net
--- a/src/net/operations.cpp
+++ b/src/net/operations.cpp
@@ -94,7 +94,7 @@
       waiting.respond("SUCCESS\r\n");
     else if (now >= waiting.deadline)
       waiting.respond(
-          "FAILURE " + waiting.id + (waiting.out ? " is out" : " is back") +
+          "FAILURE " + waiting.id + (waiting.banned ? " is out" : " is back") +
           " now, but that is not written down yet and would not outlive this process\r\n");
     else
       remaining.push_back(std::move(waiting));
@@ -102,16 +102,16 @@
   pending_answers_.swap(remaining);
 }
 
-void Operations::apply_bans(const std::set<std::string>& out) {
-  if (fleet_bans_) update_registry(out);
+void Operations::apply_bans(const std::set<std::string>& banned) {
+  if (fleet_bans_) update_registry(banned);
 }
 
-void Operations::update_registry(const std::set<std::string>& out) {
-  std::vector<std::string> back;
+void Operations::update_registry(const std::set<std::string>& banned) {
+  std::vector<std::string> lifted;
   for (const std::string& id : hosts_.banned_ids())
-    if (!out.count(id)) back.push_back(id);
-  for (const std::string& id : back) handler_.on_ban_change(hosts_.set_banned(id, false));
-  for (const std::string& id : out)
+    if (!banned.count(id)) lifted.push_back(id);
+  for (const std::string& id : lifted) handler_.on_ban_change(hosts_.set_banned(id, false));
+  for (const std::string& id : banned)
     if (!hosts_.is_banned(id)) handler_.on_ban_change(hosts_.set_banned(id, true));
 }
 
@@ -119,46 +119,47 @@
                                                       OperatorListener::Responder respond) {
   using Kind = core::ops::OperatorCommand::Kind;
   std::string error;
-  auto call = core::ops::parse_command(line, error);
-  if (!call) return "FAILURE " + error + "\r\n";
-  bool out = call->kind == Kind::kOffline;
-  if (fleet_bans_ && (out || call->kind == Kind::kOnline)) {
+  auto command = core::ops::parse_command(line, error);
+  if (!command) return "FAILURE " + error + "\r\n";
+  bool banned = command->kind == Kind::kOffline;
+  if (fleet_bans_ && (banned || command->kind == Kind::kOnline)) {
     // A ban may be lifted for a server that is not listed here: another router may have set it.
-    if (out && !hosts_.known(call->id)) return "FAILURE no such cache server\r\n";
-    fleet_bans_->set_banned(call->id, out, [respond = std::move(respond)](std::string failure) {
-      respond(failure.empty() ? "SUCCESS\r\n" : "FAILURE " + failure + "\r\n");
-    });
+    if (banned && !hosts_.known(command->id)) return "FAILURE no such cache server\r\n";
+    fleet_bans_->set_banned(
+        command->id, banned, [respond = std::move(respond)](std::string failure) {
+          respond(failure.empty() ? "SUCCESS\r\n" : "FAILURE " + failure + "\r\n");
+        });
     return std::nullopt;
   }
-  switch (call->kind) {
+  switch (command->kind) {
     case Kind::kHealth:
       return "SUCCESS\r\n";
     case Kind::kDump:
       return metrics_.json(handler_.current_figures()) + "\r\nEOT\r\n";
     case Kind::kOffline:
-      return set_banned(call->id, true, std::move(respond));
+      return set_banned(command->id, true, std::move(respond));
     default:
-      return set_banned(call->id, false, std::move(respond));
+      return set_banned(command->id, false, std::move(respond));
   }
 }
 
-std::optional<std::string> Operations::set_banned(const std::string& id, bool out,
+std::optional<std::string> Operations::set_banned(const std::string& id, bool banned,
                                                   OperatorListener::Responder respond) {
   sync_bans();
   if (!hosts_.known(id)) return "FAILURE no such cache server\r\n";
-  if (out && !hosts_.is_banned(id) && hosts_.banned_ids().size() >= kMaxBans)
+  if (banned && !hosts_.is_banned(id) && hosts_.banned_ids().size() >= kMaxBans)
     return "FAILURE too many cache servers are out\r\n";
   // Recorded even if nothing changes: an earlier command may not be durable yet.
-  BanStore::Sequence sequence = bans_.set_banned(id, out);
-  if (hosts_.is_banned(id) != out) {
-    log_.write(io_.now(), Log::Level::kInfo, out ? "server-out" : "server-back",
-               "operator: " + id + (out ? " banned" : ": ban lifted"),
+  BanStore::Sequence sequence = bans_.set_banned(id, banned);
+  if (hosts_.is_banned(id) != banned) {
+    log_.write(io_.now(), Log::Level::kInfo, banned ? "server-out" : "server-back",
+               "operator: " + id + (banned ? " banned" : ": ban lifted"),
                {{"server", std::string_view(id)}});
     update_registry(bans_.banned());
   }
   if (bans_.is_durable(sequence)) return "SUCCESS\r\n";
   pending_answers_.push_back(
-      {sequence, io_.now() + kDurabilityTimeout, id, out, std::move(respond)});
+      {sequence, io_.now() + kDurabilityTimeout, id, banned, std::move(respond)});
   sync_bans();
   tick_alarm_->set(kMillisecond);
   return std::nullopt;
--- a/src/net/operations.hpp
+++ b/src/net/operations.hpp
@@ -35,7 +35,7 @@
     /// Bans a server at every router, or lifts its ban. `done` gets an empty string once the change
     /// is committed, otherwise the reason for the failure: within a second, and never from within
     /// this call.
-    virtual void set_banned(const std::string& id, bool out,
+    virtual void set_banned(const std::string& id, bool banned,
                             std::function<void(std::string error)> done) = 0;
   };
 
@@ -50,7 +50,7 @@
   bool bans_known();
   /// Takes bans from the fleet's ledger, through apply_bans(), instead of from the ban log.
   void use_fleet_bans(FleetBans& fleet_bans) { fleet_bans_ = &fleet_bans; }
-  void apply_bans(const std::set<std::string>& out);
+  void apply_bans(const std::set<std::string>& banned);
   HostRegistry& hosts() { return hosts_; }
   const HostRegistry& hosts() const { return hosts_; }
   /// 0 while not listening.
@@ -64,12 +64,12 @@
     BanStore::Sequence sequence = 0;
     Micros deadline = 0;
     std::string id;
-    bool out = false;
+    bool banned = false;
     OperatorListener::Responder respond;
   };
 
-  void update_registry(const std::set<std::string>& out);
-  std::optional<std::string> set_banned(const std::string& id, bool out,
+  void update_registry(const std::set<std::string>& banned);
+  std::optional<std::string> set_banned(const std::string& id, bool banned,
                                         OperatorListener::Responder respond);
   void sync_bans();
   void tick();
--- a/tests/core/config/config_test.cpp
+++ b/tests/core/config/config_test.cpp
@@ -201,15 +201,15 @@
                 "version 1;\nclass c { attempts = 2; }\npool p { }\npool q { halls = [bole]; }\n"
                 "route one { class = c; prefix = \"bar\"; pool = q; }\nroute rest { pool = p; }\n")
                 .model;
-  std::string told = explain(m, {"", "", "c", "barcode"});
-  EXPECT_EQ(told,
+  std::string text = explain(m, {"", "", "c", "barcode"});
+  EXPECT_EQ(text,
             "routes of class c: 'one' by prefix \"bar\"\npool 'q': halls bole; limit none; budget "
             "none\n");
-  told = explain(m, {"", "", "c", "x"});
+  text = explain(m, {"", "", "c", "x"});
   EXPECT_EQ(
-      told.rfind("routes of class c: none with a matching prefix\nroutes of anybody: 'rest'\n", 0),
+      text.rfind("routes of class c: none with a matching prefix\nroutes of anybody: 'rest'\n", 0),
       0u)
-      << told;
+      << text;
 }
 
 TEST(Bounds, OversizedAndDeeplyNestedFilesAreRejectedWithAMessage) {
--- a/tests/net/discovery_test.cpp
+++ b/tests/net/discovery_test.cpp
@@ -14,9 +14,9 @@
 const std::string kSilence;
 
 /// Answers the n-th call with the n-th text, and all later calls with the last one.
-class Scripted {
+class ScriptedDiscovery {
  public:
-  explicit Scripted(std::vector<std::string> answers)
+  explicit ScriptedDiscovery(std::vector<std::string> answers)
       : answers_(std::move(answers)), server_([this](const std::string& line, int) {
           if (line.rfind("GET ", 0) != 0) return kSilence;
           std::size_t call = calls_++;
@@ -43,7 +43,8 @@
   LineServer leaving(good_cache), staying(good_cache);
   std::vector<std::string> now = {host_entry("s-0", leaving.address(), "leaving"),
                                   host_entry("s-1", staying.address())};
-  Scripted discovery({http(host_list("1", {}, false)), kSilence, http(host_list("2", now))});
+  ScriptedDiscovery discovery(
+      {http(host_list("1", {}, false)), kSilence, http(host_list("2", now))});
   RunningRouter router(
       {.dials = {leaving.address(), staying.address()}, .discovery = discovery.address()});
   Client client(router.port());
@@ -74,9 +75,9 @@
   for (Micros* t :
        {&timing.wait, &timing.renew_from, &timing.renew_to, &timing.limit_at_once, &timing.limit})
     *t /= 40;
-  Scripted discovery({http(host_list("1", {}, false)), kSilence,
-                      http(host_list("2", {host_entry("s-0", "127.0.0.1:9", "leaving")}, false)),
-                      kSilence});
+  ScriptedDiscovery discovery(
+      {http(host_list("1", {}, false)), kSilence,
+       http(host_list("2", {host_entry("s-0", "127.0.0.1:9", "leaving")}, false)), kSilence});
   EventBasePtr base(event_base_new());
   SystemIo io(base.get());
   DescriptorSink sink;
@@ -116,7 +117,7 @@
       kSilence,
       http(host_list("9", {out, stays, host_entry("s-2", fresh.address()),
                            host_entry("s-7", fresh.address(), "left")}))};
-  Scripted discovery(answers);
+  ScriptedDiscovery discovery(answers);
   RunningRouter router(
       {.dials = {leaving.address(), staying.address()}, .discovery = discovery.address()});
   ASSERT_TRUE(router.eventually([](Router& r) { return r.list_version() != "1"; }));
@@ -150,7 +151,7 @@
     entries.push_back(
         host_entry("s-" + std::to_string(k), options.dials.back(), k % 2 ? "active" : "leaving"));
   }
-  Scripted discovery({http(host_list("2", entries))});
+  ScriptedDiscovery discovery({http(host_list("2", entries))});
   options.discovery = discovery.address();
   RunningRouter router(options);
   ASSERT_TRUE(router.eventually([](Router& r) { return r.list_version() == "2"; }));
@@ -190,24 +191,24 @@
   };
   std::string a = host_entry("s-a", "127.0.0.1:1"), b = host_entry("s-b", "127.0.0.1:2"),
               c = host_entry("s-c", "127.0.0.1:3");
-  HostRegistry book(list("8", {a, host_entry("s-b", "127.0.0.1:2", "leaving"), c}));
-  book.apply(list("9", {a, host_entry("s-b", "127.0.0.1:2", "leaving")}));  // s-c is removed
+  HostRegistry registry(list("8", {a, host_entry("s-b", "127.0.0.1:2", "leaving"), c}));
+  registry.apply(list("9", {a, host_entry("s-b", "127.0.0.1:2", "leaving")}));  // s-c is removed
   auto health = [&](const char* id) {
     auto found = violetusher::Health::Removed;
-    book.each([&](const Host& h) {
+    registry.each([&](const Host& h) {
       if (h.server.id == id) found = h.server.health;
     });
     return found;
   };
-  book.apply(list("2", {a, b, c}), /*doubted=*/true);
+  registry.apply(list("2", {a, b, c}), /*unconfirmed=*/true);
   EXPECT_EQ(health("s-a"), violetusher::Health::Ready);
   EXPECT_EQ(health("s-b"), violetusher::Health::Draining);
   EXPECT_EQ(health("s-c"), violetusher::Health::Draining);
   std::string again = b;
   again.replace(again.find("\"born_ms\":0"), 11, "\"born_ms\":5");
-  book.apply(list("2", {a, again, c}), true);
+  registry.apply(list("2", {a, again, c}), true);
   EXPECT_EQ(health("s-b"), violetusher::Health::Ready);
-  book.apply(list("2", {a, b, c}));
+  registry.apply(list("2", {a, b, c}));
   EXPECT_EQ(health("s-c"), violetusher::Health::Ready);
 }
 
--- a/tests/net/operations_test.cpp
+++ b/tests/net/operations_test.cpp
@@ -140,19 +140,19 @@
 
 TEST(HostRegistry, ABanIsIndependentOfDiscovery) {
   using violetusher::Health;
-  HostRegistry book({"1", true, {host("a", Health::Ready), host("b", Health::Ready)}});
-  EXPECT_EQ(book.set_banned("a", true).hosts.at(0).server.health, Health::Draining);
-  EXPECT_TRUE(book.set_banned("a", true).hosts.empty());
-  auto restarted = book.apply({"2", false, {host("a", Health::Ready, 5)}});
+  HostRegistry registry({"1", true, {host("a", Health::Ready), host("b", Health::Ready)}});
+  EXPECT_EQ(registry.set_banned("a", true).hosts.at(0).server.health, Health::Draining);
+  EXPECT_TRUE(registry.set_banned("a", true).hosts.empty());
+  auto restarted = registry.apply({"2", false, {host("a", Health::Ready, 5)}});
   EXPECT_EQ(restarted.hosts[0].server.health, Health::Draining);
-  auto left = book.apply({"3", false, {host("a", Health::Removed)}});
+  auto left = registry.apply({"3", false, {host("a", Health::Removed)}});
   EXPECT_EQ(left.hosts[0].server.health, Health::Removed);
-  EXPECT_TRUE(book.known("a"));  // its ban can still be lifted
-  EXPECT_EQ(book.size(), 1u);
-  auto again = book.apply({"4", true, {host("a", Health::Ready, 9), host("b", Health::Ready)}});
+  EXPECT_TRUE(registry.known("a"));  // its ban can still be lifted
+  EXPECT_EQ(registry.size(), 1u);
+  auto again = registry.apply({"4", true, {host("a", Health::Ready, 9), host("b", Health::Ready)}});
   EXPECT_EQ(again.hosts[0].server.health, Health::Draining);
   EXPECT_EQ(again.hosts[1].server.health, Health::Ready);
-  HostList back = book.set_banned("a", false);
+  HostList back = registry.set_banned("a", false);
   ASSERT_EQ(back.hosts.size(), 1u);
   EXPECT_FALSE(back.whole);
   EXPECT_EQ(back.hosts[0].server.health, Health::Ready);
--- a/tests/net/operator_test.cpp
+++ b/tests/net/operator_test.cpp
@@ -22,7 +22,7 @@
   return "pool " + name + " { servers = [\"" + server.address() + "\"]; " + more + "}\n";
 }
 
-LineServer::Reply serves(const std::string& value) {
+LineServer::Reply answer_with(const std::string& value) {
   return [value](const std::string& line, int) { return value_for(line, value); };
 }
 
@@ -39,7 +39,7 @@
 }
 
 TEST(Operator, RoutesByPrefixAndClassToTheirPools) {
-  LineServer a(serves("from-a")), b(serves("from-b")), listed(serves("listed"));
+  LineServer a(answer_with("from-a")), b(answer_with("from-b")), listed(answer_with("listed"));
   RunningRouter router({.dials = {listed.address()}});
   operate(router, "class read { attempts = 2; }\n" + pool("pa", a) + pool("pb", b) +
                       "pool all { }\n" +
@@ -64,7 +64,7 @@
 }
 
 TEST(Operator, APoolIsSelectedFromTheHostList) {
-  LineServer one(serves("one")), two(serves("two"));
+  LineServer one(answer_with("one")), two(answer_with("two"));
   RunningRouter router({.dials = {one.address(), two.address()}});
   operate(router, "pool p { hosts = [\"*-1\"]; }\nroute r { pool = p; }\n");
   for (int k = 0; k < 10; ++k)
@@ -134,7 +134,7 @@
 }
 
 TEST(Operator, FailsOverIfTheFirstPoolHasNoServers) {
-  LineServer second(serves("second"));
+  LineServer second(answer_with("second"));
   RunningRouter router({});
   operate(router, "pool first { halls = [nowhere]; }\n" + pool("other", second) +
                       "route r { pool = first; fallbacks = [other]; }\n");
@@ -224,7 +224,7 @@
 }
 
 TEST(Operator, ListenersAreAddedAndRemovedWithTheFile) {
-  LineServer a(serves("from-a")), b(serves("from-b"));
+  LineServer a(answer_with("from-a")), b(answer_with("from-b"));
   RunningRouter router({});
   std::uint16_t port = free_port();
   auto text = [&](const std::string& extra) {
@@ -277,7 +277,7 @@
               cache.address() +
               "\"]; limit = l; shares { acme = 75%; bell = 25%; } }\nroute r { pool = p; }\n");
   std::atomic<int> served[2] = {}, refused[2] = {};
-  auto till = [&](int tenant, int number) {
+  auto run_client = [&](int tenant, int number) {
     Client client(router.port());
     std::string id = std::to_string(tenant) + "-" + std::to_string(number) + "-";
     for (int k = 0; k < 150; ++k) {
@@ -289,9 +289,9 @@
         ++refused[tenant];
     }
   };
-  std::vector<std::thread> tills;
-  for (int k = 0; k < 40; ++k) tills.emplace_back(till, k % 2, k);
-  for (auto& t : tills) t.join();
+  std::vector<std::thread> clients;
+  for (int k = 0; k < 40; ++k) clients.emplace_back(run_client, k % 2, k);
+  for (auto& t : clients) t.join();
   for (int tenant : {0, 1}) {
     EXPECT_EQ(served[tenant] + refused[tenant], 20 * 150);
     EXPECT_GT(served[tenant], 0);
--- a/tests/net/peer_transport_test.cpp
+++ b/tests/net/peer_transport_test.cpp
@@ -69,8 +69,8 @@
   });
   again->set(0);
   io_.update_time();
-  Micros gone = io_.now();
-  ASSERT_TRUE(run_until([&] { return io_.now() > gone + kSecond / 2; }));
+  Micros stopped_at = io_.now();
+  ASSERT_TRUE(run_until([&] { return io_.now() > stopped_at + kSecond / 2; }));
   b = std::make_unique<PeerTransport>(
       io_, std::map<std::string, std::string>(),
       [&](const std::string& frame, std::uint64_t) { received_b_.push_back(frame); },
