--- a/src/core/config/compile.cpp
+++ b/src/core/config/compile.cpp
@@ -13,11 +13,11 @@
 constexpr std::size_t kMaxIncludeDepth = 16;
 
 /// A section with its settings, matched to its rule.
-struct Record {
+struct Section {
   const Node* node = nullptr;
   const SectionRule* rule = nullptr;
   std::map<std::string, const Node*> settings;
-  std::vector<Record> children;
+  std::vector<Section> children;
 };
 
 class Compiler {
@@ -28,10 +28,10 @@
     // The trees must not be reallocated while there are pointers to their nodes.
     out_.trees.reserve(kMaxFiles + 1);
     read(name, text);
-    for (const Node* node : order_) section(*node, nullptr, records_);
-    define();
-    resolve();
-    build();
+    for (const Node* node : blocks_) read_section(*node, nullptr, sections_);
+    register_names();
+    resolve_references();
+    build_model();
     if (out_.diagnostics.none()) check_model(out_.model, positions_, out_.diagnostics);
     out_.diagnostics.finalize();
   }
@@ -41,7 +41,7 @@
     std::uint32_t file = out_.sources.add(name, text);
     chain_.push_back(name);
     out_.trees.push_back(parse(out_.sources, file, out_.diagnostics));
-    out_.diagnostics.enter(Diagnostic::Stage::kMeaning);
+    out_.diagnostics.enter(Diagnostic::Stage::kSemantics);
     std::size_t tree = out_.trees.size() - 1;
     bool first = true;
     for (std::size_t k = 0; k < out_.trees[tree].nodes.size(); ++k) {
@@ -62,7 +62,7 @@
       if (node.kind == Node::Kind::kInclude)
         include(node);
       else if (node.kind == Node::Kind::kBlock)
-        order_.push_back(&node);
+        blocks_.push_back(&node);
       else if (node.kind == Node::Kind::kSetting)
         out_.diagnostics.add(node.at, "'" + node.key + "' is outside of a section", sections_hint(),
                              node.length);
@@ -103,12 +103,12 @@
     return text;
   }
 
-  void section(const Node& node, const Record* parent, std::vector<Record>& to) {
+  void read_section(const Node& node, const Section* parent, std::vector<Section>& to) {
     std::string_view parent_kind = parent ? parent->rule->kind : std::string_view();
-    Record record;
-    record.node = &node;
-    record.rule = find_section(node.key, parent_kind);
-    if (!record.rule) {
+    Section section;
+    section.node = &node;
+    section.rule = find_section(node.key, parent_kind);
+    if (!section.rule) {
       std::vector<std::string_view> kinds;
       for (const SectionRule& rule : sections())
         if (rule.parent_kind == parent_kind) kinds.push_back(rule.kind);
@@ -121,53 +121,53 @@
           node.length);
       return;
     }
-    if (record.rule->named && node.name.empty()) {
+    if (section.rule->named && node.name.empty()) {
       out_.diagnostics.add(node.at, "this " + node.key + " has no name", node.key + " NAME { ... }",
                            node.length);
       return;
     }
-    if (!record.rule->named && !node.name.empty())
+    if (!section.rule->named && !node.name.empty())
       out_.diagnostics.add(node.name_at, "'" + node.key + "' takes no name", "", node.name_length);
     for (const Node& inner : node.nodes) {
       if (inner.kind == Node::Kind::kBlock)
-        section(inner, &record, record.children);
+        read_section(inner, &section, section.children);
       else
-        setting(inner, record);
+        read_setting(inner, section);
     }
-    for (const KeyRule& k : record.rule->keys)
-      if (k.required && !record.settings.count(std::string(k.key)) &&
+    for (const KeyRule& k : section.rule->keys)
+      if (k.required && !section.settings.count(std::string(k.key)) &&
           !invalid_keys_.count({&node, std::string(k.key)}))
         out_.diagnostics.add(node.name_at,
                              node.key + " " + node.name + " lacks '" + std::string(k.key) + "'",
                              std::string(k.key) + " = " +
                                  (k.refers.empty() ? std::string(example(k.type)) : "NAME") + ";",
                              node.name_length);
-    to.push_back(std::move(record));
+    to.push_back(std::move(section));
   }
 
-  void setting(const Node& node, Record& record) {
+  void read_setting(const Node& node, Section& section) {
     const KeyRule* rule = nullptr;
-    for (const KeyRule& k : record.rule->keys)
-      if (record.rule->free_keys || k.key == node.key) rule = &k;
+    for (const KeyRule& k : section.rule->keys)
+      if (section.rule->free_keys || k.key == node.key) rule = &k;
     if (!rule) {
       std::vector<std::string_view> keys;
       std::string known;
-      for (const KeyRule& k : record.rule->keys) {
+      for (const KeyRule& k : section.rule->keys) {
         keys.push_back(k.key);
         known += (known.empty() ? "" : ", ") + std::string(k.key);
       }
       auto suggestion = closest_match(node.key, keys);
       // The suggested key is not reported as missing in addition.
-      if (!suggestion.empty()) invalid_keys_.insert({record.node, std::string(suggestion)});
+      if (!suggestion.empty()) invalid_keys_.insert({section.node, std::string(suggestion)});
       out_.diagnostics.add(
-          node.at, "unknown key '" + node.key + "' in a " + record.node->key,
+          node.at, "unknown key '" + node.key + "' in a " + section.node->key,
           suggestion.empty() ? "keys: " + known : "did you mean '" + std::string(suggestion) + "'?",
           node.length);
       return;
     }
-    auto [at, fresh] = record.settings.emplace(node.key, &node);
+    auto [at, fresh] = section.settings.emplace(node.key, &node);
     if (!fresh) {
-      out_.diagnostics.add(node.at, "'" + node.key + "' is set twice in this " + record.node->key,
+      out_.diagnostics.add(node.at, "'" + node.key + "' is set twice in this " + section.node->key,
                            "first set in line " + std::to_string(at->second->at.line), node.length);
       return;
     }
@@ -185,38 +185,38 @@
         good = false;
       }
       for (std::size_t k = 0; good && k < node.value.items.size(); ++k)
-        good = value(node.value.items[k], *rule, node.key);
+        good = check_value(node.value.items[k], *rule, node.key);
     } else {
-      good = value(node.value, *rule, node.key);
+      good = check_value(node.value, *rule, node.key);
     }
     if (!good) {
-      record.settings.erase(node.key);
-      invalid_keys_.insert({record.node, node.key});
+      section.settings.erase(node.key);
+      invalid_keys_.insert({section.node, node.key});
     }
   }
 
-  bool value(const Value& v, const KeyRule& rule, const std::string& key) {
-    auto wrong = [&](const std::string& what, const std::string& hint) {
+  bool check_value(const Value& v, const KeyRule& rule, const std::string& key) {
+    auto reject = [&](const std::string& what, const std::string& hint) {
       out_.diagnostics.add(v.at, what, hint, v.length);
       return false;
     };
     std::string expected = "'" + key + "' must be " + std::string(describe(rule.type));
-    std::string shown = key + " = " + std::string(example(rule.type)) + ";";
+    std::string example_text = key + " = " + std::string(example(rule.type)) + ";";
     switch (rule.type) {
       case Type::kName:
         if (v.kind == Value::Kind::kName || (v.kind == Value::Kind::kText && !v.text.empty()))
           return true;
-        return wrong(expected, shown);
+        return reject(expected, example_text);
       case Type::kText:
       case Type::kPattern:
         if (v.kind == Value::Kind::kText && !v.text.empty() && v.text.size() <= 250) return true;
-        return wrong(expected + " of 1 to 250 bytes", shown);
+        return reject(expected + " of 1 to 250 bytes", example_text);
       case Type::kFlag:
         if (v.kind == Value::Kind::kName && (v.text == "on" || v.text == "off")) return true;
-        return wrong(expected, shown);
+        return reject(expected, example_text);
       case Type::kAddress:
         if (v.kind == Value::Kind::kText && loopback(v.text)) return true;
-        return wrong(expected, shown);
+        return reject(expected, example_text);
       default:
         break;
     }
@@ -225,18 +225,18 @@
       bool bare =
           v.kind == Value::Kind::kNumber && parse_quantity(Type::kInteger, v.text, quantity);
       if (bare && rule.type != Type::kInteger)
-        return wrong("'" + v.text + "' has no unit: '" + key + "' must be " +
-                         std::string(describe(rule.type)),
-                     shown);
-      return wrong(expected, shown);
+        return reject("'" + v.text + "' has no unit: '" + key + "' must be " +
+                          std::string(describe(rule.type)),
+                      example_text);
+      return reject(expected, example_text);
     }
     double high = rule.type == Type::kPercent ? std::min(rule.high, 1.0) : rule.high;
     if (quantity < rule.low || quantity > high)
-      return wrong("'" + key + "' must be from " + format_quantity(rule.type, rule.low) + " to " +
-                       format_quantity(rule.type, high),
-                   "");
+      return reject("'" + key + "' must be from " + format_quantity(rule.type, rule.low) + " to " +
+                        format_quantity(rule.type, high),
+                    "");
     if (rule.type == Type::kRate && quantity <= 0)
-      return wrong("a rate of 0 admits no requests", "leave '" + key + "' out for no limit");
+      return reject("a rate of 0 admits no requests", "leave '" + key + "' out for no limit");
     return true;
   }
 
@@ -262,21 +262,22 @@
            port >= 1 && port <= 65535;
   }
 
-  void define() {
-    for (const Record& record : records_) {
+  void register_names() {
+    for (const Section& section : sections_) {
       auto [at, fresh] =
-          names_[std::string(record.rule->kind)].emplace(record.node->name, record.node);
+          names_[std::string(section.rule->kind)].emplace(section.node->name, section.node);
       if (!fresh)
         out_.diagnostics.add(
-            record.node->name_at,
-            std::string(record.rule->kind) + " '" + record.node->name + "' is defined twice",
+            section.node->name_at,
+            std::string(section.rule->kind) + " '" + section.node->name + "' is defined twice",
             "first defined at " + out_.sources.name(at->second->at.file) + ":" +
                 std::to_string(at->second->at.line),
-            record.node->name_length);
+            section.node->name_length);
     }
   }
 
-  void refer(const std::string& kind, const std::string& name, Position at, std::uint32_t length) {
+  void resolve_reference(const std::string& kind, const std::string& name, Position at,
+                         std::uint32_t length) {
     const auto& known = names_[kind];
     if (known.count(name)) return;
     std::vector<std::string_view> words;
@@ -288,27 +289,28 @@
                          length);
   }
 
-  void resolve() {
-    std::function<void(const Record&)> visit = [&](const Record& record) {
-      for (const auto& [key, node] : record.settings) {
-        for (const KeyRule& k : record.rule->keys) {
-          if (k.refers.empty() || (!record.rule->free_keys && k.key != key)) continue;
-          if (record.rule->free_keys)
-            refer(std::string(k.refers), key, node->at, node->length);
+  void resolve_references() {
+    std::function<void(const Section&)> visit = [&](const Section& section) {
+      for (const auto& [key, node] : section.settings) {
+        for (const KeyRule& k : section.rule->keys) {
+          if (k.refers.empty() || (!section.rule->free_keys && k.key != key)) continue;
+          if (section.rule->free_keys)
+            resolve_reference(std::string(k.refers), key, node->at, node->length);
           else if (node->value.kind == Value::Kind::kList)
             for (const Value& v : node->value.items)
-              refer(std::string(k.refers), v.text, v.at, v.length);
+              resolve_reference(std::string(k.refers), v.text, v.at, v.length);
           else
-            refer(std::string(k.refers), node->value.text, node->value.at, node->value.length);
+            resolve_reference(std::string(k.refers), node->value.text, node->value.at,
+                              node->value.length);
         }
       }
-      for (const Record& inner : record.children) visit(inner);
+      for (const Section& inner : section.children) visit(inner);
     };
-    for (const Record& record : records_) visit(record);
+    for (const Section& section : sections_) visit(section);
   }
 
   struct Reader {
-    const Record& r;
+    const Section& r;
     const Value* find(const char* key) const {
       auto it = r.settings.find(key);
       return it == r.settings.end() ? nullptr : &it->second->value;
@@ -341,14 +343,14 @@
     }
   };
 
-  void build() {
+  void build_model() {
     Model& m = out_.model;
-    for (const Record& record : records_) {
-      Reader r{record};
-      const std::string& name = record.node->name;
-      std::string_view kind = record.rule->kind;
-      SectionPosition position{record.node->name_at, record.node->name_length, {}};
-      for (const auto& [key, node] : record.settings) position.keys[key] = node->value.at;
+    for (const Section& section : sections_) {
+      Reader r{section};
+      const std::string& name = section.node->name;
+      std::string_view kind = section.rule->kind;
+      SectionPosition position{section.node->name_at, section.node->name_length, {}};
+      for (const auto& [key, node] : section.settings) position.keys[key] = node->value.at;
       positions_[std::string(kind) + " " + name] = position;
       if (kind == "listener") m.listeners[name] = {r.text("address")};
       if (kind == "log") {
@@ -365,29 +367,29 @@
         check_choice("format", l.format, "text logfmt json");
         check_choice("level", r.text("level"), "info warn error");
         if (m.logs.size() > 1)
-          out_.diagnostics.add(record.node->at, "more than one log", "a process has at most one",
-                               record.node->length);
+          out_.diagnostics.add(section.node->at, "more than one log", "a process has at most one",
+                               section.node->length);
       }
       if (kind == "recorder") {
         m.recorders[name] = {r.text("file"), r.integer("size", 0)};
         if (m.recorders.size() > 1)
-          out_.diagnostics.add(record.node->at, "more than one recorder",
-                               "a process has at most one", record.node->length);
+          out_.diagnostics.add(section.node->at, "more than one recorder",
+                               "a process has at most one", section.node->length);
       }
       if (kind == "audit") {
         Audit a;
         m.audits[name] = {r.text("folder"), r.integer("size", a.size), r.integer("keep", a.keep),
                           r.integer("every", a.every)};
         if (m.audits.size() > 1)
-          out_.diagnostics.add(record.node->at, "more than one audit", "a process has at most one",
-                               record.node->length);
+          out_.diagnostics.add(section.node->at, "more than one audit", "a process has at most one",
+                               section.node->length);
       }
       if (kind == "peer") m.peers[name] = {r.text("address"), r.text("hall")};
       if (kind == "rollout") {
         m.rollouts[name] = {r.text("file"), r.integer("spread", Rollout().spread)};
         if (m.rollouts.size() > kMaxRollouts)
-          out_.diagnostics.add(record.node->at, "too many rollouts",
-                               "at most " + std::to_string(kMaxRollouts), record.node->length);
+          out_.diagnostics.add(section.node->at, "too many rollouts",
+                               "at most " + std::to_string(kMaxRollouts), section.node->length);
       }
       if (kind == "ledger") {
         Ledger& l = m.ledgers[name];
@@ -404,8 +406,8 @@
                                "it tolerates no more failures than one less; use 1, 3, 5 or 7",
                                r.find("keepers")->length);
         if (m.ledgers.size() > 1)
-          out_.diagnostics.add(record.node->at, "more than one ledger", "a process has at most one",
-                               record.node->length);
+          out_.diagnostics.add(section.node->at, "more than one ledger",
+                               "a process has at most one", section.node->length);
       }
       if (kind == "class")
         m.classes[name] = {r.integer("attempts", 1), r.integer("worth", 1), r.text("keyed") == "on",
@@ -429,15 +431,15 @@
         for (const std::string& b : r.sorted("blocks")) p.blocks.push_back(std::stoll(b));
         std::sort(p.blocks.begin(), p.blocks.end());
         p.limit = r.text("limit"), p.budget = r.text("budget");
-        for (const Record& shares : record.children)
+        for (const Section& shares : section.children)
           for (const auto& [tenant, node] : shares.settings) {
             double part = 0;
             parse_quantity(Type::kPercent, node->value.text, part);
             p.shares[tenant] = part;
           }
-        if (record.children.size() > 1)
-          out_.diagnostics.add(record.children[1].node->at, "'shares' is given twice in this pool",
-                               "", record.children[1].node->length);
+        if (section.children.size() > 1)
+          out_.diagnostics.add(section.children[1].node->at, "'shares' is given twice in this pool",
+                               "", section.children[1].node->length);
         m.pools[name] = p;
       }
       if (kind == "route") {
@@ -458,8 +460,8 @@
   const Loader& load_;
   std::vector<std::string> chain_;
   std::set<std::string> included_;
-  std::vector<const Node*> order_;
-  std::vector<Record> records_;
+  std::vector<const Node*> blocks_;
+  std::vector<Section> sections_;
   std::map<std::string, std::map<std::string, const Node*>> names_;
   std::set<std::pair<const Node*, std::string>>
       invalid_keys_;  // keys that are present with an invalid value
--- a/src/core/config/source.hpp
+++ b/src/core/config/source.hpp
@@ -21,7 +21,7 @@
   std::string hint;          ///< how to fix it; may be empty
   /// The stage that found it. One mistake often causes errors in all three; the earliest describes
   /// it best.
-  enum class Stage { kLexer, kParser, kMeaning } stage = Stage::kMeaning;
+  enum class Stage { kLexer, kParser, kSemantics } stage = Stage::kSemantics;
 };
 
 /// The source texts, by index in the order in which they were read.
@@ -68,7 +68,7 @@
  private:
   std::vector<Diagnostic> list_;
   std::size_t count_ = 0;
-  Diagnostic::Stage stage_ = Diagnostic::Stage::kMeaning;
+  Diagnostic::Stage stage_ = Diagnostic::Stage::kSemantics;
 };
 
 }  // namespace violetusher::core::config
