--- a/src/protocol/meta.cpp
+++ b/src/protocol/meta.cpp
@@ -162,9 +162,9 @@
   std::string_view wait;
   std::array<std::string_view, kMaxPairs> names;
   std::size_t named = 0;
-  for (std::string_view left = pairs; !left.empty();) {
-    std::string_view pair = left.substr(0, left.find(','));
-    left.remove_prefix(std::min(left.size(), pair.size() + 1));
+  for (std::string_view unparsed = pairs; !unparsed.empty();) {
+    std::string_view pair = unparsed.substr(0, unparsed.find(','));
+    unparsed.remove_prefix(std::min(unparsed.size(), pair.size() + 1));
     std::size_t eq = pair.find('=');
     if (eq == pair.npos) return Got::Bad;
     std::string_view name = pair.substr(0, eq), value = pair.substr(eq + 1);
@@ -186,9 +186,9 @@
   if (command.type.empty() || !wait_ms || !(*wait_ms >= 0 && *wait_ms <= 1e9)) return Got::Bad;
   command.wait_ms = *wait_ms;
   command.key = key;
-  std::size_t cut = static_cast<std::size_t>(wait.data() - line.data());
-  command.head = line.substr(0, cut);
-  command.tail = line.substr(cut + wait.size());
+  std::size_t timeout_offset = static_cast<std::size_t>(wait.data() - line.data());
+  command.head = line.substr(0, timeout_offset);
+  command.tail = line.substr(timeout_offset + wait.size());
   if (!command.set) return Got::Command;
   state_ = State::Value;
   pending_ = std::move(command);
@@ -230,9 +230,9 @@
     auto value = number<double>(pair.substr(eq + 1));
     if (!field || !value || !(*value >= 0 && *value <= kMaxReportValue)) continue;  // unreadable
     auto at = std::find(fields_->begin(), fields_->end(), *field);
-    auto place = static_cast<std::size_t>(at - fields_->begin());
-    if (place >= report.size()) continue;
-    report[place] = *value;
+    auto index = static_cast<std::size_t>(at - fields_->begin());
+    if (index >= report.size()) continue;
+    report[index] = *value;
     any = true;
   }
   if (any) answer.report = report;
@@ -309,19 +309,19 @@
       if (answer.length > kMaxValueBytes) {
         pending_ = answer;
         remaining_ = answer.length;
-        state_ = State::Long;
+        state_ = State::StreamedValue;
         return Got::Begin;
       }
       std::swap(pending_, answer);
       pending_.value.reserve(remaining_);
       state_ = State::Value;
-    } else if (state_ == State::Long) {
+    } else if (state_ == State::StreamedValue) {
       piece_ = in.substr(0, remaining_);
       in.remove_prefix(piece_.size());
       remaining_ -= piece_.size();
-      if (remaining_ == 0) state_ = State::LongEnd;
+      if (remaining_ == 0) state_ = State::StreamedValueEnd;
       return Got::Piece;
-    } else if (state_ == State::LongEnd) {
+    } else if (state_ == State::StreamedValueEnd) {
       partial_ += in.front();
       in.remove_prefix(1);
       if (partial_ != std::string_view("\r\n").substr(0, partial_.size())) return Got::Broken;
--- a/src/protocol/meta.hpp
+++ b/src/protocol/meta.hpp
@@ -70,7 +70,7 @@
   bool in_answer() const { return !partial_.empty() || state_ != State::Line; }
 
  private:
-  enum class State { Line, Value, Long, LongEnd };
+  enum class State { Line, Value, StreamedValue, StreamedValueEnd };
   bool parse_line(std::string_view line, Answer& answer);
   void parse_report(std::string_view text, Answer& answer) const;
 
--- a/tests/daemon/flight_test.cpp
+++ b/tests/daemon/flight_test.cpp
@@ -20,15 +20,15 @@
   Daemon(const LineServer& cache, bool recorded) {
     std::string name = ::testing::TempDir() + "/flight-XXXXXX";
     if (!::mkdtemp(name.data())) std::abort();
-    folder_ = name;
-    std::ofstream(folder_ / "config") << config_text({.dials = {cache.address()}});
-    std::ofstream(folder_ / "operator")
+    directory_ = name;
+    std::ofstream(directory_ / "config") << config_text({.dials = {cache.address()}});
+    std::ofstream(directory_ / "operator")
         << "version 1;\nrecorder main { file = \"" << path() << "\"; size = 1MiB; }\n";
     start(recorded);
   }
   ~Daemon() {
     stop_with(SIGKILL);
-    fs::remove_all(folder_);
+    fs::remove_all(directory_);
   }
   void start(bool recorded) {
     int out[2];
@@ -36,8 +36,8 @@
     pid_ = ::fork();
     if (pid_ == 0) {
       ::dup2(out[1], 2);
-      ::setenv("NODE_CONFIG", (folder_ / "config").c_str(), 1);
-      std::string file = folder_ / "operator";
+      ::setenv("NODE_CONFIG", (directory_ / "config").c_str(), 1);
+      std::string file = directory_ / "operator";
       if (recorded)
         ::execl(VIOLETUSHER_PROGRAM, "violetusher", "--operator", file.c_str(), nullptr);
       else
@@ -66,12 +66,12 @@
     ::waitpid(pid_, nullptr, 0);
     pid_ = -1;
   }
-  std::string path() const { return folder_ / "recording"; }
+  std::string path() const { return directory_ / "recording"; }
   std::uint16_t port() const { return port_; }
   int pid() const { return pid_; }
 
  private:
-  fs::path folder_;
+  fs::path directory_;
   Fd log_;
   int pid_ = -1;
   std::uint16_t port_ = 0;
--- a/tests/net/ban_log_test.cpp
+++ b/tests/net/ban_log_test.cpp
@@ -17,14 +17,14 @@
  protected:
   BanLogTest() {
     std::string pattern = ::testing::TempDir() + "/bans-XXXXXX";
-    folder_ = ::mkdtemp(pattern.data());
-    path_ = folder_ + "/bans";
+    directory_ = ::mkdtemp(pattern.data());
+    path_ = directory_ + "/bans";
   }
-  ~BanLogTest() override { std::filesystem::remove_all(folder_); }
+  ~BanLogTest() override { std::filesystem::remove_all(directory_); }
   bool append(const std::string& id, bool banned) {
     return append_bans(path_, {{id, banned}}, false).done();
   }
-  std::string folder_, path_;
+  std::string directory_, path_;
 };
 
 /// The servers that a process which reads the file considers banned.
@@ -110,8 +110,8 @@
 
 TEST_F(BanLogTest, AMissingDirectoryIsAnError) {
   EXPECT_FALSE(append_bans("", {{"s-1", true}}).done());
-  EXPECT_FALSE(append_bans(folder_ + "/missing/bans", {{"s-1", true}}).done());
-  BanLogReader none(folder_ + "/missing/bans");
+  EXPECT_FALSE(append_bans(directory_ + "/missing/bans", {{"s-1", true}}).done());
+  BanLogReader none(directory_ + "/missing/bans");
   BanLogReader::Update update;
   EXPECT_EQ(none.poll(update).error, ENOENT);
 }
--- a/tests/net/ban_store_test.cpp
+++ b/tests/net/ban_store_test.cpp
@@ -17,10 +17,10 @@
  protected:
   BanStoreTest() {
     std::string pattern = ::testing::TempDir() + "/bans-XXXXXX";
-    folder_ = ::mkdtemp(pattern.data());
-    path_ = folder_ + "/bans";
+    directory_ = ::mkdtemp(pattern.data());
+    path_ = directory_ + "/bans";
   }
-  ~BanStoreTest() override { fs::remove_all(folder_); }
+  ~BanStoreTest() override { fs::remove_all(directory_); }
   /// Advances until the update is durable; false if that doesn't happen.
   static bool advance_until_durable(BanStore& store, BanStore::Sequence sequence) {
     Micros now = 0;
@@ -30,7 +30,7 @@
     }
     return store.is_durable(sequence);
   }
-  std::string folder_, path_;
+  std::string directory_, path_;
   using Ids = std::set<std::string>;
 };
 
@@ -48,7 +48,7 @@
 }
 
 TEST_F(BanStoreTest, ABanThatCouldNotBeWrittenHoldsAndIsWrittenLater) {
-  path_ = folder_ + "/missing/bans";
+  path_ = directory_ + "/missing/bans";
   BanStore store(path_);
   BanStore::Sequence first = store.set_banned("s-1", true);
   for (int k = 0; k < 30; ++k) {
@@ -57,7 +57,7 @@
   }
   EXPECT_FALSE(store.is_durable(first));
   EXPECT_NE(store.error(), "");
-  fs::create_directory(folder_ + "/missing");
+  fs::create_directory(directory_ + "/missing");
   BanStore::Sequence second = store.set_banned("s-2", true);
   ASSERT_TRUE(advance_until_durable(store, second));
   EXPECT_TRUE(store.is_durable(first));
--- a/tests/net/operations_test.cpp
+++ b/tests/net/operations_test.cpp
@@ -10,12 +10,12 @@
 namespace violetusher::net::test {
 namespace {
 
-struct Folder {
-  Folder() {
+struct TemporaryDirectory {
+  TemporaryDirectory() {
     std::string pattern = ::testing::TempDir() + "/ops-XXXXXX";
     path = ::mkdtemp(pattern.data());
   }
-  ~Folder() { std::filesystem::remove_all(path); }
+  ~TemporaryDirectory() { std::filesystem::remove_all(path); }
   std::string path;
 };
 
@@ -160,10 +160,10 @@
 }
 
 TEST(Operations, BansHoldAcrossAProcessReplacement) {
-  Folder folder;
+  TemporaryDirectory directory;
   LineServer first(good_cache), second(good_cache);
   RouterOptions options = with_operator({first.address(), second.address()});
-  options.state_directory = folder.path;
+  options.state_directory = directory.path;
   auto old = std::make_unique<RunningRouter>(options);
   EXPECT_EQ(call(*old, "OFFLINE s-0"), "SUCCESS\r\n");
   RunningRouter fresh(options);
@@ -255,8 +255,8 @@
 }
 
 TEST(SettingsUpdate, InvalidFilesAreRejected) {
-  Folder folder;
-  std::string path = folder.path + "/config.json";
+  TemporaryDirectory directory;
+  std::string path = directory.path + "/config.json";
   std::string good = config_text({.dials = {"127.0.0.1:9"}});
   auto write = [&](const std::string& text) { std::ofstream(path, std::ios::trunc) << text; };
   ::setenv("NODE_CONFIG", path.c_str(), 1);
--- a/tests/net/seam_test.cpp
+++ b/tests/net/seam_test.cpp
@@ -15,11 +15,11 @@
 namespace fs = std::filesystem;
 
 /// Files that implement the interface, or access files and descriptors.
-const std::set<std::string> kSystem = {"net/system_io.hpp", "net/system_io.cpp",
-                                       "net/flight_file.cpp", "net/log_sink.cpp",
-                                       "net/file_io.cpp"};
+const std::set<std::string> kImplementationFiles = {"net/system_io.hpp", "net/system_io.cpp",
+                                                    "net/flight_file.cpp", "net/log_sink.cpp",
+                                                    "net/file_io.cpp"};
 
-std::string goes_around(const std::string& line) {
+std::string find_bypass(const std::string& line) {
   // In parts, since a raw string can't be wrapped.
   static const std::string kPattern =
       std::string(R"((^|[^\w>])::(socket|connect|accept4?|bind|listen|recv|recvmsg|send)\s*\()") +
@@ -39,13 +39,13 @@
          fs::recursive_directory_iterator(fs::path(VIOLETUSHER_SOURCES) / folder)) {
       if (!entry.is_regular_file()) continue;
       std::string name = fs::relative(entry.path(), VIOLETUSHER_SOURCES);
-      if (kSystem.count(name)) continue;
+      if (kImplementationFiles.count(name)) continue;
       ++files;
       std::ifstream file(entry.path());
       std::string line;
       for (int number = 1; std::getline(file, line); ++number) {
         line = line.substr(0, line.find("//"));
-        EXPECT_EQ(goes_around(line), "") << name << ":" << number << ": " << line;
+        EXPECT_EQ(find_bypass(line), "") << name << ":" << number << ": " << line;
       }
     }
   EXPECT_GT(files, 40);
@@ -55,8 +55,8 @@
   for (const char* line :
        {"  int fd = ::socket(AF_INET, 0, 0);", "auto t = std::chrono::steady_clock::now();",
         "std::random_device d;", "  event_add(e, nullptr);", "#include <event2/http.h>"})
-    EXPECT_NE(goes_around(line), "") << line;
-  EXPECT_EQ(goes_around("  io_.connect(address); p_.io.now(); servers_.send(a);"), "");
+    EXPECT_NE(find_bypass(line), "") << line;
+  EXPECT_EQ(find_bypass("  io_.connect(address); p_.io.now(); servers_.send(a);"), "");
 }
 
 }  // namespace
