--- a/src/net/ban_log.hpp
+++ b/src/net/ban_log.hpp
@@ -37,6 +37,7 @@
  public:
   explicit BanLogReader(std::string path) : path_(std::move(path)) {}
 
+  /// What poll() has read.
   enum class Update {
     kNone,
     kAppended,   ///< lines() were appended to what was read before
--- a/src/net/discovery.hpp
+++ b/src/net/discovery.hpp
@@ -17,6 +17,7 @@
 /// Keeps the host list current through long-poll watches on the discovery service.
 class Discovery final : core::membership::WatchScheduler::Port {
  public:
+  /// Receives host lists.
   class Handler {
    public:
     virtual ~Handler() = default;
--- a/src/net/io.hpp
+++ b/src/net/io.hpp
@@ -61,6 +61,7 @@
     kTimeout = 4,
     kPeerEnded = 8,  ///< with kReadable, if the system reports it; see Io::peer_ended()
   };
+  /// Receives readiness events.
   class Target {
    public:
     virtual ~Target() = default;
--- a/src/net/operations.hpp
+++ b/src/net/operations.hpp
@@ -20,6 +20,7 @@
 /// Answers operators' commands and keeps the host registry in line with the bans.
 class Operations {
  public:
+  /// Receives changes to the host list, and supplies gauges for DUMP.
   class Handler {
    public:
     virtual ~Handler() = default;
--- a/src/net/operator_listener.cpp
+++ b/src/net/operator_listener.cpp
@@ -104,8 +104,8 @@
   Micros deadline_;
 };
 
-OperatorListener::OperatorListener(Io& io, CommandHandler answer)
-    : io_(io), handler_(std::move(answer)), sweep_alarm_(io.alarm([this] { sweep(); })) {}
+OperatorListener::OperatorListener(Io& io, CommandHandler handler)
+    : io_(io), handler_(std::move(handler)), sweep_alarm_(io.alarm([this] { sweep(); })) {}
 
 OperatorListener::~OperatorListener() = default;
 
--- a/src/net/operator_listener.hpp
+++ b/src/net/operator_listener.hpp
@@ -26,7 +26,7 @@
   using CommandHandler =
       std::function<std::optional<std::string>(std::string_view line, Responder respond)>;
 
-  OperatorListener(Io& io, CommandHandler answer);
+  OperatorListener(Io& io, CommandHandler handler);
   ~OperatorListener() override;
 
   /// On failure returns false and sets `error`.
