--- a/src/core/config/check.hpp
+++ b/src/core/config/check.hpp
@@ -1,5 +1,5 @@
-// What only the whole model shows: routes that nothing reaches, shares that don't add up, limits
-// and budgets without effect.
+// Checks that need the complete model: unreachable routes, shares that don't add up, limits and
+// budgets without effect.
 #pragma once
 
 #include <map>
@@ -9,15 +9,15 @@
 
 namespace violetusher::core::config {
 
-/// Where a section stands, and its settings.
-struct Place {
+/// The position of a section and of the values of its settings.
+struct SectionPosition {
   Position at;
   std::uint32_t length = 1;
   std::map<std::string, Position> keys;
 };
 /// By "KIND NAME".
-using Places = std::map<std::string, Place>;
+using SectionPositions = std::map<std::string, SectionPosition>;
 
-void check_model(const Model& model, const Places& places, Diagnostics& diagnostics);
+void check_model(const Model& model, const SectionPositions& positions, Diagnostics& diagnostics);
 
 }  // namespace violetusher::core::config
--- a/src/core/config/compile.cpp
+++ b/src/core/config/compile.cpp
@@ -1,5 +1,5 @@
-// From trees to a model: includes, sections and keys by the schema, references. What needs the
-// whole model is in check.cpp.
+// Compiles parse trees to a model: includes, sections and keys according to the schema, references.
+// Checks that need the complete model are in check.cpp.
 #include <algorithm>
 #include <set>
 
@@ -10,14 +10,14 @@
 namespace violetusher::core::config {
 namespace {
 
-constexpr std::size_t kDeepestInclude = 16;
+constexpr std::size_t kMaxIncludeDepth = 16;
 
-/// One section with its settings, typed.
-struct Record {
+/// A section with its settings, matched to its rule.
+struct Section {
   const Node* node = nullptr;
   const SectionRule* rule = nullptr;
   std::map<std::string, const Node*> settings;
-  std::vector<Record> below;
+  std::vector<Section> children;
 };
 
 class Compiler {
@@ -25,14 +25,14 @@
   Compiler(Compiled& out, const Loader& load) : out_(out), load_(load) {}
 
   void run(const std::string& name, const std::string& text) {
-    // Trees must not move while nodes of them are pointed at.
-    out_.trees.reserve(kMostFiles + 1);
+    // The trees must not be reallocated while there are pointers to their nodes.
+    out_.trees.reserve(kMaxFiles + 1);
     read(name, text);
-    for (const Node* node : order_) section(*node, nullptr, records_);
-    define();
-    resolve();
-    build();
-    if (out_.diagnostics.none()) check_model(out_.model, places_, out_.diagnostics);
+    for (const Node* node : blocks_) read_section(*node, nullptr, sections_);
+    register_names();
+    resolve_references();
+    build_model();
+    if (out_.diagnostics.none()) check_model(out_.model, positions_, out_.diagnostics);
     out_.diagnostics.finalize();
   }
 
@@ -41,7 +41,7 @@
     std::uint32_t file = out_.sources.add(name, text);
     chain_.push_back(name);
     out_.trees.push_back(parse(out_.sources, file, out_.diagnostics));
-    out_.diagnostics.enter(Diagnostic::Stage::kMeaning);
+    out_.diagnostics.enter(Diagnostic::Stage::kSemantics);
     std::size_t tree = out_.trees.size() - 1;
     bool first = true;
     for (std::size_t k = 0; k < out_.trees[tree].nodes.size(); ++k) {
@@ -49,23 +49,23 @@
       if (node.kind == Node::Kind::kVersion) {
         double version = 0;
         if (!first || file != 0)
-          out_.diagnostics.add(node.at, "'version' stands only at the top of the first file", "",
-                               node.length);
-        else if (!read_figure(Type::kInteger, node.value.text, version) || version != 1)
-          out_.diagnostics.add(node.value.at, "version " + node.value.text + " is not known",
-                               "this program reads version 1", node.value.length);
+          out_.diagnostics.add(node.at, "'version' is only allowed at the top of the first file",
+                               "", node.length);
+        else if (!parse_quantity(Type::kInteger, node.value.text, version) || version != 1)
+          out_.diagnostics.add(node.value.at, "version " + node.value.text + " is not supported",
+                               "this program supports version 1", node.value.length);
       } else if (first && file == 0) {
         out_.diagnostics.add(node.at, "the first line must be 'version 1;'",
-                             "so that a later language is told apart", node.length);
+                             "it gives the version of the file format", node.length);
       }
       first = false;
       if (node.kind == Node::Kind::kInclude)
         include(node);
       else if (node.kind == Node::Kind::kBlock)
-        order_.push_back(&node);
+        blocks_.push_back(&node);
       else if (node.kind == Node::Kind::kSetting)
-        out_.diagnostics.add(node.at, "'" + node.key + "' stands outside of a section",
-                             sections_hint(), node.length);
+        out_.diagnostics.add(node.at, "'" + node.key + "' is outside of a section", sections_hint(),
+                             node.length);
     }
     if (first && file == 0 && out_.diagnostics.none())
       out_.diagnostics.add({file, 1, 1}, "the file is empty", "begin with 'version 1;'");
@@ -73,170 +73,170 @@
   }
 
   void include(const Node& node) {
-    auto complain = [&](const std::string& what, const std::string& hint) {
+    auto report = [&](const std::string& what, const std::string& hint) {
       out_.diagnostics.add(node.value.at, what, hint, node.value.length);
     };
     Loaded loaded = load_(chain_.back(), node.value.text);
     auto at = std::find(chain_.begin(), chain_.end(), loaded.name);
     if (loaded.error.empty() && at != chain_.end()) {
-      std::string way;
-      for (; at != chain_.end(); ++at) way += *at + " -> ";
-      return complain("include loop: " + way + loaded.name,
-                      "a file can't include itself, also not by others");
+      std::string loop;
+      for (; at != chain_.end(); ++at) loop += *at + " -> ";
+      return report("include loop: " + loop + loaded.name,
+                    "a file can't include itself, directly or indirectly");
     }
     if (!loaded.error.empty())
-      return complain("cannot include \"" + node.value.text + "\": " + loaded.error, "");
+      return report("cannot include \"" + node.value.text + "\": " + loaded.error, "");
     if (!included_.insert(loaded.name).second)
-      return complain("\"" + node.value.text + "\" is included twice",
-                      "its names would stand twice");
-    if (chain_.size() >= kDeepestInclude)
-      return complain("includes inside one another more than 16 deep", "");
-    if (out_.sources.count() >= kMostFiles) return complain("more than 256 files", "");
-    if (out_.sources.bytes() + loaded.text.size() > kMostBytes)
-      return complain("more than 16 MiB in all files together", "");
+      return report("\"" + node.value.text + "\" is included twice",
+                    "its names would be defined twice");
+    if (chain_.size() >= kMaxIncludeDepth) return report("includes nested more than 16 deep", "");
+    if (out_.sources.count() >= kMaxFiles) return report("more than 256 files", "");
+    if (out_.sources.bytes() + loaded.text.size() > kMaxTotalBytes)
+      return report("more than 16 MiB in all files", "");
     read(loaded.name, loaded.text);
   }
 
   static std::string sections_hint() {
     std::string text = "sections: ";
     for (const SectionRule& rule : sections())
-      if (rule.below.empty()) text += (text.size() > 10 ? ", " : "") + std::string(rule.kind);
+      if (rule.parent_kind.empty()) text += (text.size() > 10 ? ", " : "") + std::string(rule.kind);
     return text;
   }
 
-  void section(const Node& node, const Record* parent, std::vector<Record>& to) {
-    std::string_view below = parent ? parent->rule->kind : std::string_view();
-    Record record;
-    record.node = &node;
-    record.rule = find_section(node.key, below);
-    if (!record.rule) {
+  void read_section(const Node& node, const Section* parent, std::vector<Section>& to) {
+    std::string_view parent_kind = parent ? parent->rule->kind : std::string_view();
+    Section section;
+    section.node = &node;
+    section.rule = find_section(node.key, parent_kind);
+    if (!section.rule) {
       std::vector<std::string_view> kinds;
       for (const SectionRule& rule : sections())
-        if (rule.below == below) kinds.push_back(rule.kind);
-      auto near = nearest(node.key, kinds);
+        if (rule.parent_kind == parent_kind) kinds.push_back(rule.kind);
+      auto suggestion = closest_match(node.key, kinds);
       out_.diagnostics.add(
           node.at,
-          "no section '" + node.key + "'" + (parent ? " inside '" + parent->node->key + "'" : ""),
-          near.empty() ? sections_hint() : "did you mean '" + std::string(near) + "'?",
+          "unknown section '" + node.key + "'" +
+              (parent ? " inside '" + parent->node->key + "'" : ""),
+          suggestion.empty() ? sections_hint() : "did you mean '" + std::string(suggestion) + "'?",
           node.length);
       return;
     }
-    if (record.rule->named && node.name.empty()) {
+    if (section.rule->named && node.name.empty()) {
       out_.diagnostics.add(node.at, "this " + node.key + " has no name", node.key + " NAME { ... }",
                            node.length);
       return;
     }
-    if (!record.rule->named && !node.name.empty())
+    if (!section.rule->named && !node.name.empty())
       out_.diagnostics.add(node.name_at, "'" + node.key + "' takes no name", "", node.name_length);
     for (const Node& inner : node.nodes) {
       if (inner.kind == Node::Kind::kBlock)
-        section(inner, &record, record.below);
+        read_section(inner, &section, section.children);
       else
-        setting(inner, record);
+        read_setting(inner, section);
     }
-    for (const KeyRule& k : record.rule->keys)
-      if (k.required && !record.settings.count(std::string(k.key)) &&
-          !lost_.count({&node, std::string(k.key)}))
+    for (const KeyRule& k : section.rule->keys)
+      if (k.required && !section.settings.count(std::string(k.key)) &&
+          !invalid_keys_.count({&node, std::string(k.key)}))
         out_.diagnostics.add(node.name_at,
                              node.key + " " + node.name + " lacks '" + std::string(k.key) + "'",
                              std::string(k.key) + " = " +
                                  (k.refers.empty() ? std::string(example(k.type)) : "NAME") + ";",
                              node.name_length);
-    to.push_back(std::move(record));
+    to.push_back(std::move(section));
   }
 
-  void setting(const Node& node, Record& record) {
+  void read_setting(const Node& node, Section& section) {
     const KeyRule* rule = nullptr;
-    for (const KeyRule& k : record.rule->keys)
-      if (record.rule->free_keys || k.key == node.key) rule = &k;
+    for (const KeyRule& k : section.rule->keys)
+      if (section.rule->free_keys || k.key == node.key) rule = &k;
     if (!rule) {
       std::vector<std::string_view> keys;
       std::string known;
-      for (const KeyRule& k : record.rule->keys) {
+      for (const KeyRule& k : section.rule->keys) {
         keys.push_back(k.key);
         known += (known.empty() ? "" : ", ") + std::string(k.key);
       }
-      auto near = nearest(node.key, keys);
-      // The key that was meant is not missing as well.
-      if (!near.empty()) lost_.insert({record.node, std::string(near)});
+      auto suggestion = closest_match(node.key, keys);
+      // The suggested key is not reported as missing in addition.
+      if (!suggestion.empty()) invalid_keys_.insert({section.node, std::string(suggestion)});
       out_.diagnostics.add(
-          node.at, "no key '" + node.key + "' in a " + record.node->key,
-          near.empty() ? "keys: " + known : "did you mean '" + std::string(near) + "'?",
+          node.at, "unknown key '" + node.key + "' in a " + section.node->key,
+          suggestion.empty() ? "keys: " + known : "did you mean '" + std::string(suggestion) + "'?",
           node.length);
       return;
     }
-    auto [at, fresh] = record.settings.emplace(node.key, &node);
+    auto [at, fresh] = section.settings.emplace(node.key, &node);
     if (!fresh) {
-      out_.diagnostics.add(node.at, "'" + node.key + "' is set twice in this " + record.node->key,
-                           "first in line " + std::to_string(at->second->at.line), node.length);
+      out_.diagnostics.add(node.at, "'" + node.key + "' is set twice in this " + section.node->key,
+                           "first set in line " + std::to_string(at->second->at.line), node.length);
       return;
     }
     bool good = true;
     if (node.value.kind == Value::Kind::kList) {
       if (!rule->list) {
-        out_.diagnostics.add(node.value.at, "'" + node.key + "' takes one value, no list",
+        out_.diagnostics.add(node.value.at, "'" + node.key + "' takes one value, not a list",
                              node.key + " = " + std::string(example(rule->type)) + ";",
                              node.value.length);
         good = false;
       }
       if (rule->list && node.value.items.empty()) {
-        out_.diagnostics.add(node.value.at, "an empty list",
-                             "leave '" + node.key + "' out where anything will do",
-                             node.value.length);
+        out_.diagnostics.add(node.value.at, "empty list",
+                             "leave '" + node.key + "' out to match anything", node.value.length);
         good = false;
       }
       for (std::size_t k = 0; good && k < node.value.items.size(); ++k)
-        good = value(node.value.items[k], *rule, node.key);
+        good = check_value(node.value.items[k], *rule, node.key);
     } else {
-      good = value(node.value, *rule, node.key);
+      good = check_value(node.value, *rule, node.key);
     }
     if (!good) {
-      record.settings.erase(node.key);
-      lost_.insert({record.node, node.key});
+      section.settings.erase(node.key);
+      invalid_keys_.insert({section.node, node.key});
     }
   }
 
-  bool value(const Value& v, const KeyRule& rule, const std::string& key) {
-    auto wrong = [&](const std::string& what, const std::string& hint) {
+  bool check_value(const Value& v, const KeyRule& rule, const std::string& key) {
+    auto reject = [&](const std::string& what, const std::string& hint) {
       out_.diagnostics.add(v.at, what, hint, v.length);
       return false;
     };
-    std::string wanted = "'" + key + "' wants " + std::string(describe(rule.type));
-    std::string shown = key + " = " + std::string(example(rule.type)) + ";";
+    std::string expected = "'" + key + "' must be " + std::string(describe(rule.type));
+    std::string example_text = key + " = " + std::string(example(rule.type)) + ";";
     switch (rule.type) {
       case Type::kName:
         if (v.kind == Value::Kind::kName || (v.kind == Value::Kind::kText && !v.text.empty()))
           return true;
-        return wrong(wanted, shown);
+        return reject(expected, example_text);
       case Type::kText:
       case Type::kPattern:
         if (v.kind == Value::Kind::kText && !v.text.empty() && v.text.size() <= 250) return true;
-        return wrong(wanted + " of 1 to 250 bytes", shown);
+        return reject(expected + " of 1 to 250 bytes", example_text);
       case Type::kFlag:
         if (v.kind == Value::Kind::kName && (v.text == "on" || v.text == "off")) return true;
-        return wrong(wanted, shown);
+        return reject(expected, example_text);
       case Type::kAddress:
         if (v.kind == Value::Kind::kText && loopback(v.text)) return true;
-        return wrong(wanted, shown);
+        return reject(expected, example_text);
       default:
         break;
     }
-    double figure = 0;
-    if (v.kind != Value::Kind::kNumber || !read_figure(rule.type, v.text, figure)) {
-      bool bare = v.kind == Value::Kind::kNumber && read_figure(Type::kInteger, v.text, figure);
+    double quantity = 0;
+    if (v.kind != Value::Kind::kNumber || !parse_quantity(rule.type, v.text, quantity)) {
+      bool bare =
+          v.kind == Value::Kind::kNumber && parse_quantity(Type::kInteger, v.text, quantity);
       if (bare && rule.type != Type::kInteger)
-        return wrong(
-            "'" + v.text + "' has no unit: '" + key + "' wants " + std::string(describe(rule.type)),
-            shown);
-      return wrong(wanted, shown);
+        return reject("'" + v.text + "' has no unit: '" + key + "' must be " +
+                          std::string(describe(rule.type)),
+                      example_text);
+      return reject(expected, example_text);
     }
     double high = rule.type == Type::kPercent ? std::min(rule.high, 1.0) : rule.high;
-    if (figure < rule.low || figure > high)
-      return wrong("'" + key + "' must be from " + write_figure(rule.type, rule.low) + " to " +
-                       write_figure(rule.type, high),
-                   "");
-    if (rule.type == Type::kRate && figure <= 0)
-      return wrong("a rate of 0 lets nothing through", "leave '" + key + "' out for no limit");
+    if (quantity < rule.low || quantity > high)
+      return reject("'" + key + "' must be from " + format_quantity(rule.type, rule.low) + " to " +
+                        format_quantity(rule.type, high),
+                    "");
+    if (rule.type == Type::kRate && quantity <= 0)
+      return reject("a rate of 0 admits no requests", "leave '" + key + "' out for no limit");
     return true;
   }
 
@@ -250,7 +250,7 @@
       std::size_t end = std::min(host.find('.', at), host.size());
       double part = 0;
       if (end == at || end - at > 3 ||
-          !read_figure(Type::kInteger, std::string_view(host).substr(at, end - at), part) ||
+          !parse_quantity(Type::kInteger, std::string_view(host).substr(at, end - at), part) ||
           part < 0 || part > 255)
         return false;
       ++parts;
@@ -258,72 +258,74 @@
     }
     double port = 0;
     return parts == 4 &&
-           read_figure(Type::kInteger, std::string_view(text).substr(colon + 1), port) &&
+           parse_quantity(Type::kInteger, std::string_view(text).substr(colon + 1), port) &&
            port >= 1 && port <= 65535;
   }
 
-  void define() {
-    for (const Record& record : records_) {
+  void register_names() {
+    for (const Section& section : sections_) {
       auto [at, fresh] =
-          names_[std::string(record.rule->kind)].emplace(record.node->name, record.node);
+          names_[std::string(section.rule->kind)].emplace(section.node->name, section.node);
       if (!fresh)
         out_.diagnostics.add(
-            record.node->name_at,
-            std::string(record.rule->kind) + " '" + record.node->name + "' is defined twice",
-            "first at " + out_.sources.name(at->second->at.file) + ":" +
+            section.node->name_at,
+            std::string(section.rule->kind) + " '" + section.node->name + "' is defined twice",
+            "first defined at " + out_.sources.name(at->second->at.file) + ":" +
                 std::to_string(at->second->at.line),
-            record.node->name_length);
+            section.node->name_length);
     }
   }
 
-  void refer(const std::string& kind, const std::string& name, Position at, std::uint32_t length) {
+  void resolve_reference(const std::string& kind, const std::string& name, Position at,
+                         std::uint32_t length) {
     const auto& known = names_[kind];
     if (known.count(name)) return;
     std::vector<std::string_view> words;
     for (const auto& [k, node] : known) words.push_back(k);
-    auto near = nearest(name, words);
+    auto suggestion = closest_match(name, words);
     out_.diagnostics.add(at, kind + " '" + name + "' is not defined",
-                         near.empty() ? "define it: " + kind + " " + name + " { ... }"
-                                      : "did you mean '" + std::string(near) + "'?",
+                         suggestion.empty() ? "define it: " + kind + " " + name + " { ... }"
+                                            : "did you mean '" + std::string(suggestion) + "'?",
                          length);
   }
 
-  void resolve() {
-    std::function<void(const Record&)> look = [&](const Record& record) {
-      for (const auto& [key, node] : record.settings) {
-        for (const KeyRule& k : record.rule->keys) {
-          if (k.refers.empty() || (!record.rule->free_keys && k.key != key)) continue;
-          if (record.rule->free_keys)
-            refer(std::string(k.refers), key, node->at, node->length);
+  void resolve_references() {
+    std::function<void(const Section&)> visit = [&](const Section& section) {
+      for (const auto& [key, node] : section.settings) {
+        for (const KeyRule& k : section.rule->keys) {
+          if (k.refers.empty() || (!section.rule->free_keys && k.key != key)) continue;
+          if (section.rule->free_keys)
+            resolve_reference(std::string(k.refers), key, node->at, node->length);
           else if (node->value.kind == Value::Kind::kList)
             for (const Value& v : node->value.items)
-              refer(std::string(k.refers), v.text, v.at, v.length);
+              resolve_reference(std::string(k.refers), v.text, v.at, v.length);
           else
-            refer(std::string(k.refers), node->value.text, node->value.at, node->value.length);
+            resolve_reference(std::string(k.refers), node->value.text, node->value.at,
+                              node->value.length);
         }
       }
-      for (const Record& inner : record.below) look(inner);
+      for (const Section& inner : section.children) visit(inner);
     };
-    for (const Record& record : records_) look(record);
+    for (const Section& section : sections_) visit(section);
   }
 
   struct Reader {
-    const Record& r;
+    const Section& r;
     const Value* find(const char* key) const {
       auto it = r.settings.find(key);
       return it == r.settings.end() ? nullptr : &it->second->value;
     }
     std::string text(const char* key) const { return find(key) ? find(key)->text : std::string(); }
-    double figure(const char* key, double absent) const {
+    double quantity(const char* key, double fallback) const {
       const Value* v = find(key);
-      if (!v) return absent;
-      double f = absent;
+      if (!v) return fallback;
+      double f = fallback;
       for (const KeyRule& k : r.rule->keys)
-        if (k.key == key) read_figure(k.type, v->text, f);
+        if (k.key == key) parse_quantity(k.type, v->text, f);
       return f;
     }
-    std::int64_t integer(const char* key, std::int64_t absent) const {
-      return static_cast<std::int64_t>(figure(key, static_cast<double>(absent)));
+    std::int64_t integer(const char* key, std::int64_t fallback) const {
+      return static_cast<std::int64_t>(quantity(key, static_cast<double>(fallback)));
     }
     std::vector<std::string> texts(const char* key) const {
       const Value* v = find(key);
@@ -341,53 +343,53 @@
     }
   };
 
-  void build() {
+  void build_model() {
     Model& m = out_.model;
-    for (const Record& record : records_) {
-      Reader r{record};
-      const std::string& name = record.node->name;
-      std::string_view kind = record.rule->kind;
-      Place place{record.node->name_at, record.node->name_length, {}};
-      for (const auto& [key, node] : record.settings) place.keys[key] = node->value.at;
-      places_[std::string(kind) + " " + name] = place;
+    for (const Section& section : sections_) {
+      Reader r{section};
+      const std::string& name = section.node->name;
+      std::string_view kind = section.rule->kind;
+      SectionPosition position{section.node->name_at, section.node->name_length, {}};
+      for (const auto& [key, node] : section.settings) position.keys[key] = node->value.at;
+      positions_[std::string(kind) + " " + name] = position;
       if (kind == "listener") m.listeners[name] = {r.text("address")};
       if (kind == "log") {
         Log& l = m.logs[name] = {r.text("format"), r.text("level")};
         if (l.level.empty()) l.level = "info";
-        auto among = [&](const char* key, const std::string& value, const char* choices) {
+        auto check_choice = [&](const char* key, const std::string& value, const char* choices) {
           if (value.empty() ||
               (" " + std::string(choices) + " ").find(" " + value + " ") != std::string::npos)
             return;
           const Value* v = r.find(key);
-          out_.diagnostics.add(v->at, "'" + value + "' is no " + key + " of a log",
+          out_.diagnostics.add(v->at, "'" + value + "' is not a valid " + key + " of a log",
                                "one of: " + std::string(choices), v->length);
         };
-        among("format", l.format, "text logfmt json");
-        among("level", r.text("level"), "info warn error");
+        check_choice("format", l.format, "text logfmt json");
+        check_choice("level", r.text("level"), "info warn error");
         if (m.logs.size() > 1)
-          out_.diagnostics.add(record.node->at, "a second log", "one process has one",
-                               record.node->length);
+          out_.diagnostics.add(section.node->at, "more than one log", "a process has at most one",
+                               section.node->length);
       }
       if (kind == "recorder") {
         m.recorders[name] = {r.text("file"), r.integer("size", 0)};
         if (m.recorders.size() > 1)
-          out_.diagnostics.add(record.node->at, "a second recorder", "one process has one",
-                               record.node->length);
+          out_.diagnostics.add(section.node->at, "more than one recorder",
+                               "a process has at most one", section.node->length);
       }
       if (kind == "audit") {
         Audit a;
         m.audits[name] = {r.text("folder"), r.integer("size", a.size), r.integer("keep", a.keep),
                           r.integer("every", a.every)};
         if (m.audits.size() > 1)
-          out_.diagnostics.add(record.node->at, "a second audit", "one process has one",
-                               record.node->length);
+          out_.diagnostics.add(section.node->at, "more than one audit", "a process has at most one",
+                               section.node->length);
       }
       if (kind == "peer") m.peers[name] = {r.text("address"), r.text("hall")};
       if (kind == "rollout") {
         m.rollouts[name] = {r.text("file"), r.integer("spread", Rollout().spread)};
-        if (m.rollouts.size() > kMostRollouts)
-          out_.diagnostics.add(record.node->at, "too many roll-outs",
-                               "at most " + std::to_string(kMostRollouts), record.node->length);
+        if (m.rollouts.size() > kMaxRollouts)
+          out_.diagnostics.add(section.node->at, "too many rollouts",
+                               "at most " + std::to_string(kMaxRollouts), section.node->length);
       }
       if (kind == "ledger") {
         Ledger& l = m.ledgers[name];
@@ -401,26 +403,27 @@
              r.integer("trust_after", l.trust_after)};
         if (l.voters % 2 == 0)
           out_.diagnostics.add(r.find("keepers")->at, "an even number of keepers",
-                               "one more bears no more losses; 1, 3, 5 or 7",
+                               "it tolerates no more failures than one less; use 1, 3, 5 or 7",
                                r.find("keepers")->length);
         if (m.ledgers.size() > 1)
-          out_.diagnostics.add(record.node->at, "a second ledger", "one process has one",
-                               record.node->length);
+          out_.diagnostics.add(section.node->at, "more than one ledger",
+                               "a process has at most one", section.node->length);
       }
       if (kind == "class")
         m.classes[name] = {r.integer("attempts", 1), r.integer("worth", 1), r.text("keyed") == "on",
                            r.text("limit")};
       if (kind == "tenant") m.tenants[name] = {r.text("limit")};
       if (kind == "limit") {
-        Limit l{r.figure("rate", 0), r.integer("burst", 0), r.integer("in_flight", 0),
+        Limit l{r.quantity("rate", 0), r.integer("burst", 0), r.integer("in_flight", 0),
                 r.integer("come_back", 0)};
-        // A tenth of a second's worth where nothing else is said, at least one.
+        // The default burst is a tenth of a second's worth of the rate, and at least 1.
         if (l.rate > 0 && !r.find("burst"))
           l.burst = std::max<std::int64_t>(1, static_cast<std::int64_t>(l.rate / 10));
         m.limits[name] = l;
       }
       if (kind == "budget")
-        m.budgets[name] = {r.figure("retries", 0), r.figure("hedges", 0), r.figure("floor", 0)};
+        m.budgets[name] = {r.quantity("retries", 0), r.quantity("hedges", 0),
+                           r.quantity("floor", 0)};
       if (kind == "pool") {
         Pool p;
         p.zones = r.sorted("halls"), p.kinds = r.sorted("kinds"), p.hosts = r.sorted("hosts"),
@@ -428,15 +431,15 @@
         for (const std::string& b : r.sorted("blocks")) p.blocks.push_back(std::stoll(b));
         std::sort(p.blocks.begin(), p.blocks.end());
         p.limit = r.text("limit"), p.budget = r.text("budget");
-        for (const Record& shares : record.below)
+        for (const Section& shares : section.children)
           for (const auto& [tenant, node] : shares.settings) {
             double part = 0;
-            read_figure(Type::kPercent, node->value.text, part);
+            parse_quantity(Type::kPercent, node->value.text, part);
             p.shares[tenant] = part;
           }
-        if (record.below.size() > 1)
-          out_.diagnostics.add(record.below[1].node->at, "'shares' stands twice in this pool", "",
-                               record.below[1].node->length);
+        if (section.children.size() > 1)
+          out_.diagnostics.add(section.children[1].node->at, "'shares' is given twice in this pool",
+                               "", section.children[1].node->length);
         m.pools[name] = p;
       }
       if (kind == "route") {
@@ -445,9 +448,9 @@
         t.prefix = r.text("prefix");
         t.pool = r.text("pool"), t.fallbacks = r.texts("fallbacks"), t.limit = r.text("limit"),
         t.budget = r.text("budget");
-        t.failover_at = r.figure("fall_over_at", t.failover_at),
-        t.failback_at = r.figure("fall_back_at", std::min(t.failback_at, t.failover_at));
-        t.spill = r.figure("spill", t.spill);
+        t.failover_at = r.quantity("fall_over_at", t.failover_at),
+        t.failback_at = r.quantity("fall_back_at", std::min(t.failback_at, t.failover_at));
+        t.spill = r.quantity("spill", t.spill);
         m.routes[name] = t;
       }
     }
@@ -457,18 +460,19 @@
   const Loader& load_;
   std::vector<std::string> chain_;
   std::set<std::string> included_;
-  std::vector<const Node*> order_;
-  std::vector<Record> records_;
+  std::vector<const Node*> blocks_;
+  std::vector<Section> sections_;
   std::map<std::string, std::map<std::string, const Node*>> names_;
-  std::set<std::pair<const Node*, std::string>> lost_;  // keys that were there but can't be used
-  Places places_;
+  std::set<std::pair<const Node*, std::string>>
+      invalid_keys_;  // keys that are present with an invalid value
+  SectionPositions positions_;
 };
 
 }  // namespace
 
 Compiled compile(const std::string& name, const std::string& text, const Loader& load) {
   Compiled out;
-  if (text.size() > kMostBytes) {
+  if (text.size() > kMaxTotalBytes) {
     out.sources.add(name, "");
     out.diagnostics.add({0, 1, 1}, "the file is larger than 16 MiB", "");
     return out;
--- a/src/daemon/loop_task_queue.hpp
+++ b/src/daemon/loop_task_queue.hpp
@@ -1,4 +1,4 @@
-// How one thread asks another's loop to do something: what is posted runs there, in order.
+// Runs tasks posted from other threads on an event loop, in order.
 #pragma once
 
 #include <event2/event.h>
@@ -11,21 +11,23 @@
 
 namespace violetusher::net {
 
+/// A queue of tasks for the thread that runs an event loop.
 class LoopTaskQueue {
  public:
-  /// `base`: of the loop that runs what is posted. Made and unmade while that loop stands still.
+  /// `base`: the loop that runs the tasks. Construct and destroy only while that loop isn't
+  /// running.
   explicit LoopTaskQueue(event_base* base);
-  /// From any thread.
+  /// Thread-safe.
   void post(std::function<void()> task);
 
  private:
   static void on_ready(evutil_socket_t, short, void* self);
 
-  static void on_look(evutil_socket_t, short, void* self);
+  static void on_poll(evutil_socket_t, short, void* self);
   void run();
 
-  Fd bell_;
-  EventPtr event_, look_;
+  Fd wakeup_fd_;
+  EventPtr wakeup_event_, poll_event_;
   std::mutex mutex_;
   std::vector<std::function<void()>> tasks_;
 };
--- a/src/daemon/signals.hpp
+++ b/src/daemon/signals.hpp
@@ -1,12 +1,12 @@
-// Signals as flags that the loop asks for. A handler that hands them over a socket pair, as
-// libevent's does, loses one where that write fails.
+// Signals as flags that the event loop polls. libevent's handler passes signals through a socket
+// pair instead, and loses one if that write fails.
 #pragma once
 
 namespace violetusher {
 
-/// From now on the signal is kept until it is taken.
-void keep_signal(int number);
-/// Whether the signal has come since it was last taken.
-bool take_signal(int number);
+/// Installs a handler that records the signal until it is consumed.
+void capture_signal(int number);
+/// Whether the signal has arrived since it was last consumed.
+bool consume_signal(int number);
 
 }  // namespace violetusher
--- a/src/net/flight_file.cpp
+++ b/src/net/flight_file.cpp
@@ -21,15 +21,15 @@
     throw UnreadableError("recorder: " + path + ": " + what + ": " + status.reason(),
                           status.is_transient());
   };
-  // What the process before has left is what somebody may want to read.
+  // The recording of the previous process may be needed to investigate how it ended.
   if (::rename(path.c_str(), (path + ".before").c_str()) != 0 && errno != ENOENT)
-    fail("the old recording can't be kept");
+    fail("the previous recording can't be renamed");
   Fd fd(::open(path.c_str(), O_RDWR | O_CREAT | O_EXCL | O_CLOEXEC | O_NOFOLLOW, 0640));
-  if (!fd) fail("can't be made");
-  // Its blocks now: a full disk must not show as a signal later.
+  if (!fd) fail("can't be created");
+  // Allocates the blocks now: on a full disk a later write to the mapping would raise SIGBUS.
   if (int error = ::posix_fallocate(fd.get(), 0, static_cast<off_t>(bytes_))) {
     errno = error;
-    fail("no room");
+    fail("no disk space");
   }
   void* at =
       ::mmap(nullptr, bytes_, PROT_READ | PROT_WRITE, MAP_SHARED | MAP_POPULATE, fd.get(), 0);
@@ -40,21 +40,21 @@
 
 FlightFile::~FlightFile() { ::munmap(memory_, bytes_); }
 
-bool FlightFile::copy(const std::string& reason, Micros now, bool asked) {
-  if (copies_ >= kMostCopies) return false;
-  if (!asked && alerted_at_ && now - alerted_at_ < kBetweenAlerts) return false;
-  if (!asked) alerted_at_ = now;
+bool FlightFile::copy(const std::string& reason, Micros now, bool on_request) {
+  if (copies_ >= kMaxCopies) return false;
+  if (!on_request && last_alert_at_ && now - last_alert_at_ < kMinAlertInterval) return false;
+  if (!on_request) last_alert_at_ = now;
   std::string to = path_ + "." + reason + "-" + std::to_string(++copies_), part = to + ".part";
   Fd fd(::open(part.c_str(), O_WRONLY | O_CREAT | O_TRUNC | O_CLOEXEC | O_NOFOLLOW, 0640));
   if (!fd) return false;
   auto bytes = ring_->memory();
-  std::size_t have = 0;
-  while (have < bytes.size()) {
-    ssize_t put = ::write(fd.get(), bytes.data() + have, bytes.size() - have);
-    if (put <= 0) break;
-    have += static_cast<std::size_t>(put);
+  std::size_t written = 0;
+  while (written < bytes.size()) {
+    ssize_t count = ::write(fd.get(), bytes.data() + written, bytes.size() - written);
+    if (count <= 0) break;
+    written += static_cast<std::size_t>(count);
   }
-  if (have == bytes.size() && ::rename(part.c_str(), to.c_str()) == 0) return true;
+  if (written == bytes.size() && ::rename(part.c_str(), to.c_str()) == 0) return true;
   ::unlink(part.c_str());
   return false;
 }
--- a/src/net/operations.hpp
+++ b/src/net/operations.hpp
@@ -1,4 +1,4 @@
-// What operators do to a running router: their calls answered, servers out and back, bans kept.
+// Operator commands to a running router: health checks, metrics dumps, and bans of cache servers.
 #pragma once
 
 #include <functional>
@@ -17,75 +17,80 @@
 
 namespace violetusher::net {
 
+/// Answers operators' commands and keeps the host registry in line with the bans.
 class Operations {
  public:
+  /// Receives changes to the host list, and supplies gauges for DUMP.
   class Handler {
    public:
     virtual ~Handler() = default;
-    /// What is to be heard of a server that was taken out, or put back.
+    /// The host list change that follows from a ban or from lifting one.
     virtual void on_ban_change(HostList&& change) = 0;
     virtual core::ops::Metrics::Gauges current_figures() = 0;
   };
 
-  /// What is held for the whole fleet, where there is a ledger.
+  /// Bans that the ledger holds for the whole fleet.
   class FleetBans {
    public:
     virtual ~FleetBans() = default;
-    /// Takes a server out at every router, or puts it back. `done` hears why not; nothing in `why`
-    /// once it holds for good. Within a second, and never from within the call.
-    virtual void set_banned(const std::string& id, bool out,
-                            std::function<void(std::string why)> done) = 0;
+    /// Bans a server at every router, or lifts its ban. `done` gets an empty string once the change
+    /// is committed, otherwise the reason for the failure: within a second, and never from within
+    /// this call.
+    virtual void set_banned(const std::string& id, bool banned,
+                            std::function<void(std::string error)> done) = 0;
   };
 
-  /// All that is given outlives it. Does nothing where `config` names no address for operators.
-  Operations(Io& io, const Config& config, const core::ops::Metrics& figures, Handler& handler,
+  /// All arguments must outlive the object. Does nothing if `config` has no operator address.
+  Operations(Io& io, const Config& config, const core::ops::Metrics& metrics, Handler& handler,
              Log& log);
 
-  /// Takes over the bans that are kept, and listens; where that fails, it is tried again.
+  /// Loads the stored bans and starts to listen; retries while either fails.
   void start();
-  /// Whether it is known which servers are out; until then nothing may be sent. Looks once more
-  /// where it is not.
+  /// Whether the bans have been loaded; until then no request may be sent. Tries once more to load
+  /// them.
   bool bans_known();
-  /// From now on `promises` says which servers are out, through hold(), and no longer the file.
-  void use_fleet_bans(FleetBans& promises) { promises_ = &promises; }
-  void apply_bans(const std::set<std::string>& out);
+  /// Takes bans from the fleet's ledger, through apply_bans(), instead of from the ban log.
+  void use_fleet_bans(FleetBans& fleet_bans) { fleet_bans_ = &fleet_bans; }
+  void apply_bans(const std::set<std::string>& banned);
   HostRegistry& hosts() { return hosts_; }
   const HostRegistry& hosts() const { return hosts_; }
-  /// 0 while it doesn't listen.
-  std::uint16_t port() const { return side_.listening() ? side_.port() : 0; }
+  /// 0 while not listening.
+  std::uint16_t port() const { return listener_.listening() ? listener_.port() : 0; }
 
  private:
-  std::optional<std::string> answer(std::string_view line, OperatorListener::Later later);
-  /// An operator who waits until a ban is durable.
-  struct Waiting {
-    BanStore::Number number = 0;
-    Micros until = 0;
+  std::optional<std::string> handle_command(std::string_view line,
+                                            OperatorListener::Responder respond);
+  /// A command that is answered once its ban is durable.
+  struct PendingAnswer {
+    BanStore::Sequence sequence = 0;
+    Micros deadline = 0;
     std::string id;
-    bool out = false;
-    OperatorListener::Later later;
+    bool banned = false;
+    OperatorListener::Responder respond;
   };
 
-  void follow(const std::set<std::string>& out);
-  std::optional<std::string> put(const std::string& id, bool out, OperatorListener::Later later);
-  void sync();
-  void look();
+  void update_registry(const std::set<std::string>& banned);
+  std::optional<std::string> set_banned(const std::string& id, bool banned,
+                                        OperatorListener::Responder respond);
+  void sync_bans();
+  void tick();
   void listen();
-  void answer_waiting();
-  void tell_trouble();
+  void complete_pending_answers();
+  void log_store_error();
 
   Io& io_;
   const Config& config_;
-  const core::ops::Metrics& figures_;
+  const core::ops::Metrics& metrics_;
   Handler& handler_;
   Log& log_;
   HostRegistry hosts_;
   BanStore bans_;
-  std::vector<Waiting> waiting_;
-  std::string told_trouble_;
-  FleetBans* promises_ = nullptr;
-  OperatorListener side_;
-  std::unique_ptr<Alarm> look_alarm_;
-  Micros listen_at_ = 0;  // not listening: when to try again
+  std::vector<PendingAnswer> pending_answers_;
+  std::string logged_error_;
+  FleetBans* fleet_bans_ = nullptr;
+  OperatorListener listener_;
+  std::unique_ptr<Alarm> tick_alarm_;
+  Micros next_listen_at_ = 0;  // while not listening: time of the next attempt
 };
 
 }  // namespace violetusher::net
--- a/src/net/operator_listener.hpp
+++ b/src/net/operator_listener.hpp
@@ -1,5 +1,5 @@
-// Where operators call: one line a connection, one answer, a close. Apart from the clients' side in
-// all that is bounded, so that neither can keep the other out.
+// The operators' listener: one command line per connection, one answer, then a close. Its limits
+// are separate from those for clients, so that neither can starve the other.
 #pragma once
 
 #include <functional>
@@ -13,35 +13,39 @@
 
 namespace violetusher::net {
 
+/// Accepts operators' connections and hands each command line to a handler.
 class OperatorListener final : Watch::Target {
  public:
-  /// Connections open at once; beyond, the one that has waited longest goes.
+  /// Connections open at once; a further one closes the oldest.
   static constexpr std::size_t kMaxConnections = 16;
-  /// Says the answer to a call that had none at once; goes nowhere where the caller has gone.
-  using Later = std::function<void(std::string text)>;
-  /// The answer to a call's line, each of its lines with an end, or nothing: then `later` says it.
-  using Answer = std::function<std::optional<std::string>(std::string_view line, Later later)>;
-
-  OperatorListener(Io& io, Answer answer);
+  /// Sends the answer to a command that was not answered at once; ignored if the connection is
+  /// closed.
+  using Responder = std::function<void(std::string text)>;
+  /// Returns the answer to a command, each line terminated, or nothing if `respond` is called
+  /// later.
+  using CommandHandler =
+      std::function<std::optional<std::string>(std::string_view line, Responder respond)>;
+
+  OperatorListener(Io& io, CommandHandler handler);
   ~OperatorListener() override;
 
-  /// False with the reason in `error`.
+  /// On failure returns false and sets `error`.
   bool listen(const sockaddr_in& address, std::string& error);
   std::uint16_t port() const { return io_.port(listener_.number()); }
   bool listening() const { return static_cast<bool>(listener_); }
-  std::size_t connections() const { return callers_.size(); }
+  std::size_t connections() const { return connections_.size(); }
 
  private:
-  class Caller;
+  class Connection;
   void on_ready(unsigned) override;
   void sweep();
 
   Io& io_;
-  Answer answer_;
+  CommandHandler handler_;
   Socket listener_;
   std::unique_ptr<Watch> accept_watch_;
   std::unique_ptr<Alarm> sweep_alarm_;
-  std::vector<std::unique_ptr<Caller>> callers_;  // in the order of their coming
+  std::vector<std::unique_ptr<Connection>> connections_;  // oldest first
 };
 
 }  // namespace violetusher::net
--- a/src/protocol/meta.cpp
+++ b/src/protocol/meta.cpp
@@ -11,8 +11,8 @@
 namespace violetusher::protocol {
 namespace {
 
-constexpr std::size_t kMaxPairs = 16;  // names and values of one command
-constexpr double kMaxFigure = 1e9;     // of a load report; beyond, it can't be read
+constexpr std::size_t kMaxPairs = 16;    // name=value pairs of one command
+constexpr double kMaxReportValue = 1e9;  // of a load report; larger values are ignored
 
 template <typename T>
 std::optional<T> number(std::string_view text) {
@@ -22,7 +22,7 @@
   return value;
 }
 
-/// The next word of `rest`, which it is taken from; empty at the end.
+/// Removes the next word from `rest`; empty at the end.
 std::string_view next_word(std::string_view& rest) {
   while (!rest.empty() && rest.front() == ' ') rest.remove_prefix(1);
   std::string_view word = rest.substr(0, rest.find(' '));
@@ -30,11 +30,11 @@
   return word;
 }
 
-/// Moves bytes up to and with the next '\n' from `in` behind `partial`. Gives the line without its
-/// end when it is whole; it lives in `in`'s memory or in `partial`, which the caller clears then.
-/// Sets `too_long` when no line end came within kMaxLineBytes bytes.
-std::optional<std::string_view> take_text_line(std::string_view& in, std::string& partial,
-                                               bool& too_long) {
+/// Consumes `in` up to and including the next '\n'. Returns the line without its terminator once it
+/// is complete; it points into `in` or `partial`, which the caller then clears. An incomplete line
+/// is kept in `partial`. Sets `too_long` if no terminator comes within kMaxLineBytes.
+std::optional<std::string_view> read_line(std::string_view& in, std::string& partial,
+                                          bool& too_long) {
   std::size_t end = in.find('\n');
   std::size_t size = end == in.npos ? in.size() : end + 1;
   if (partial.size() + size > kMaxLineBytes) {
@@ -51,22 +51,23 @@
   return line;
 }
 
-/// Moves up to `need` bytes from `in` behind `to`.
-void take_bytes(std::string_view& in, std::string& to, std::size_t& need) {
-  std::size_t size = std::min(need, in.size());
+/// Moves up to `remaining` bytes from `in` to the end of `to`.
+void read_bytes(std::string_view& in, std::string& to, std::size_t& remaining) {
+  std::size_t size = std::min(remaining, in.size());
   to.append(in.data(), size);
   in.remove_prefix(size);
-  need -= size;
+  remaining -= size;
 }
 
-/// Takes the line end off that a value must have behind it; false where it has none.
-bool drop_line_end(std::string& value) {
+/// Removes the line end that must follow a value; false if there is none.
+bool strip_line_end(std::string& value) {
   if (value.size() < 2 || value[value.size() - 2] != '\r' || value.back() != '\n') return false;
   value.resize(value.size() - 2);
   return true;
 }
 
-/// No control characters: what a terminal or another parser would not take for part of a line.
+/// Whether there are no control characters, which a terminal or another parser may not treat as
+/// part of a line.
 bool printable(std::string_view text) {
   return std::none_of(text.begin(), text.end(), [](unsigned char c) { return c < 32 || c == 127; });
 }
@@ -94,14 +95,18 @@
 
 void append_reply(std::string& out, const std::string& id, const Reply& reply) {
   char digits[24];
-  auto figure = [&](auto value) -> std::string_view {
+  auto digits_of = [&](auto value) -> std::string_view {
     char* end = std::to_chars(digits, digits + sizeof digits, value).ptr;
     return {digits, static_cast<std::size_t>(end - digits)};
   };
   switch (reply.kind) {
     case Reply::Kind::Value:
       out.reserve(out.size() + reply.value.size() + id.size() + 40);
-      out.append("VA ").append(figure(reply.value.size())).append(" O").append(id).append("\r\n");
+      out.append("VA ")
+          .append(digits_of(reply.value.size()))
+          .append(" O")
+          .append(id)
+          .append("\r\n");
       out.append(reply.value);
       break;
     case Reply::Kind::Stored:
@@ -110,7 +115,8 @@
       break;
     case Reply::Kind::Busy:
       out.append("SERVER_ERROR busy");
-      if (reply.retry_after > 0) out.append(" ").append(figure((reply.retry_after + 999) / 1000));
+      if (reply.retry_after > 0)
+        out.append(" ").append(digits_of((reply.retry_after + 999) / 1000));
       break;
     case Reply::Kind::Failed:
       out.append("SERVER_ERROR failed");
@@ -122,7 +128,7 @@
   out.append("\r\n");
 }
 
-CommandReader::Got CommandReader::take_line(std::string_view line, Command& command) {
+CommandReader::Got CommandReader::parse_line(std::string_view line, Command& command) {
   std::string_view rest = line;
   std::string_view verb = next_word(rest);
   if (verb == "mn" && next_word(rest).empty()) return Got::Noop;
@@ -135,7 +141,7 @@
   if (command.set) {
     auto length = number<std::size_t>(next_word(rest));
     if (!length || *length > kMaxValueBytes) return Got::Bad;
-    value_need_ = *length + 2;
+    value_remaining_ = *length + 2;
   }
   std::string_view pairs;
   bool wants_value = false;
@@ -149,20 +155,20 @@
     else if (flag[0] == 'P' && pairs.empty())
       pairs = flag.substr(1);
     else
-      return Got::Bad;  // one that is not of the protocol, or comes twice
+      return Got::Bad;  // an unknown or repeated flag
   }
   if (command.id.empty() || command.id.size() > kMaxOpaqueBytes || wants_value == command.set)
     return Got::Bad;
   std::string_view wait;
   std::array<std::string_view, kMaxPairs> names;
   std::size_t named = 0;
-  for (std::string_view left = pairs; !left.empty();) {
-    std::string_view pair = left.substr(0, left.find(','));
-    left.remove_prefix(std::min(left.size(), pair.size() + 1));
+  for (std::string_view unparsed = pairs; !unparsed.empty();) {
+    std::string_view pair = unparsed.substr(0, unparsed.find(','));
+    unparsed.remove_prefix(std::min(unparsed.size(), pair.size() + 1));
     std::size_t eq = pair.find('=');
     if (eq == pair.npos) return Got::Bad;
     std::string_view name = pair.substr(0, eq), value = pair.substr(eq + 1);
-    // Of two the cache server may believe the other one.
+    // A repeated name is rejected: the cache server might use the other value.
     auto* end = names.data() + named;
     if (named == kMaxPairs || std::find(names.data(), end, name) != end) return Got::Bad;
     names[named++] = name;
@@ -171,7 +177,7 @@
     if (name == "r") command.repeat = value == "1";
     if (name == "k") command.idempotency = value;
     if (name == "d") wait = value;
-    if (name == "h") {  // a guess: one that can't be used is none
+    if (name == "h") {  // only an estimate: an invalid one is ignored
       auto work = number<double>(value);
       if (work && *work >= 0 && *work < 1e12) command.work = static_cast<std::int64_t>(*work);
     }
@@ -180,9 +186,9 @@
   if (command.type.empty() || !wait_ms || !(*wait_ms >= 0 && *wait_ms <= 1e9)) return Got::Bad;
   command.wait_ms = *wait_ms;
   command.key = key;
-  std::size_t cut = static_cast<std::size_t>(wait.data() - line.data());
-  command.head = line.substr(0, cut);
-  command.tail = line.substr(cut + wait.size());
+  std::size_t timeout_offset = static_cast<std::size_t>(wait.data() - line.data());
+  command.head = line.substr(0, timeout_offset);
+  command.tail = line.substr(timeout_offset + wait.size());
   if (!command.set) return Got::Command;
   state_ = State::Value;
   pending_ = std::move(command);
@@ -193,19 +199,19 @@
   while (!in.empty()) {
     if (state_ == State::Line) {
       bool too_long = false;
-      auto line = take_text_line(in, partial_, too_long);
+      auto line = read_line(in, partial_, too_long);
       if (too_long) return Got::Bad;
       if (!line) return Got::Nothing;
-      Got got = take_line(*line, command);
+      Got got = parse_line(*line, command);
       std::string().swap(partial_);
       if (got != Got::Nothing) return got;
     } else {
-      take_bytes(in, pending_.value, value_need_);
-      if (value_need_ > 0) return Got::Nothing;
+      read_bytes(in, pending_.value, value_remaining_);
+      if (value_remaining_ > 0) return Got::Nothing;
       state_ = State::Line;
       command = std::move(pending_);
       pending_ = Command();
-      return drop_line_end(command.value) ? Got::Command : Got::Bad;
+      return strip_line_end(command.value) ? Got::Command : Got::Bad;
     }
   }
   return Got::Nothing;
@@ -222,11 +228,11 @@
     if (eq == pair.npos) continue;
     auto field = violetusher::protocol::report_field_of(pair.substr(0, eq));
     auto value = number<double>(pair.substr(eq + 1));
-    if (!field || !value || !(*value >= 0 && *value <= kMaxFigure)) continue;  // unreadable
+    if (!field || !value || !(*value >= 0 && *value <= kMaxReportValue)) continue;  // unreadable
     auto at = std::find(fields_->begin(), fields_->end(), *field);
-    auto place = static_cast<std::size_t>(at - fields_->begin());
-    if (place >= report.size()) continue;
-    report[place] = *value;
+    auto index = static_cast<std::size_t>(at - fields_->begin());
+    if (index >= report.size()) continue;
+    report[index] = *value;
     any = true;
   }
   if (any) answer.report = report;
@@ -243,7 +249,7 @@
     auto length = number<std::size_t>(next_word(rest));
     if (!length || *length > kMaxStreamedValueBytes) return false;
     answer.length = *length;
-    need_ = *length + 2;
+    remaining_ = *length + 2;
   } else if (verb == "HD") {
     answer.kind = Answer::Kind::Stored;
   } else if (verb == "EN") {
@@ -284,7 +290,7 @@
     }
   }
   if (fetching && answer.note == 2) answer.note = 3;
-  // Served without what it was served with: nobody could tell that it was.
+  // Without a receipt the client couldn't verify that the write was stored.
   if (answer.kind == Answer::Kind::Stored && answer.receipt.empty()) return false;
   return true;
 }
@@ -293,7 +299,7 @@
   while (!in.empty()) {
     if (state_ == State::Line) {
       bool too_long = false;
-      auto line = take_text_line(in, partial_, too_long);
+      auto line = read_line(in, partial_, too_long);
       if (too_long) return Got::Broken;
       if (!line) return Got::Nothing;
       bool good = parse_line(*line, answer);
@@ -302,20 +308,20 @@
       if (answer.kind != Answer::Kind::Value) return Got::Answer;
       if (answer.length > kMaxValueBytes) {
         pending_ = answer;
-        need_ = answer.length;
-        state_ = State::Long;
+        remaining_ = answer.length;
+        state_ = State::StreamedValue;
         return Got::Begin;
       }
       std::swap(pending_, answer);
-      pending_.value.reserve(need_);
+      pending_.value.reserve(remaining_);
       state_ = State::Value;
-    } else if (state_ == State::Long) {
-      piece_ = in.substr(0, need_);
+    } else if (state_ == State::StreamedValue) {
+      piece_ = in.substr(0, remaining_);
       in.remove_prefix(piece_.size());
-      need_ -= piece_.size();
-      if (need_ == 0) state_ = State::LongEnd;
+      remaining_ -= piece_.size();
+      if (remaining_ == 0) state_ = State::StreamedValueEnd;
       return Got::Piece;
-    } else if (state_ == State::LongEnd) {
+    } else if (state_ == State::StreamedValueEnd) {
       partial_ += in.front();
       in.remove_prefix(1);
       if (partial_ != std::string_view("\r\n").substr(0, partial_.size())) return Got::Broken;
@@ -326,11 +332,11 @@
       pending_ = Answer();
       return Got::Answer;
     } else {
-      take_bytes(in, pending_.value, need_);
-      if (need_ > 0) return Got::Nothing;
+      read_bytes(in, pending_.value, remaining_);
+      if (remaining_ > 0) return Got::Nothing;
       state_ = State::Line;
       std::swap(answer, pending_);
-      return drop_line_end(answer.value) ? Got::Answer : Got::Broken;
+      return strip_line_end(answer.value) ? Got::Answer : Got::Broken;
     }
   }
   return Got::Nothing;
--- a/tests/daemon/flight_test.cpp
+++ b/tests/daemon/flight_test.cpp
@@ -1,5 +1,5 @@
-// The daemon's flight recorder: a recording survives SIGKILL, a copy comes when asked, and without
-// an operator file there is none.
+// The daemon's flight recorder: a recording survives SIGKILL, a copy is made on request, and
+// without an operator file there is no recording.
 #include <signal.h>
 #include <sys/wait.h>
 
@@ -20,15 +20,15 @@
   Daemon(const LineServer& cache, bool recorded) {
     std::string name = ::testing::TempDir() + "/flight-XXXXXX";
     if (!::mkdtemp(name.data())) std::abort();
-    folder_ = name;
-    std::ofstream(folder_ / "config") << config_text({.dials = {cache.address()}});
-    std::ofstream(folder_ / "operator")
+    directory_ = name;
+    std::ofstream(directory_ / "config") << config_text({.dials = {cache.address()}});
+    std::ofstream(directory_ / "operator")
         << "version 1;\nrecorder main { file = \"" << path() << "\"; size = 1MiB; }\n";
     start(recorded);
   }
   ~Daemon() {
-    end(SIGKILL);
-    fs::remove_all(folder_);
+    stop_with(SIGKILL);
+    fs::remove_all(directory_);
   }
   void start(bool recorded) {
     int out[2];
@@ -36,8 +36,8 @@
     pid_ = ::fork();
     if (pid_ == 0) {
       ::dup2(out[1], 2);
-      ::setenv("NODE_CONFIG", (folder_ / "config").c_str(), 1);
-      std::string file = folder_ / "operator";
+      ::setenv("NODE_CONFIG", (directory_ / "config").c_str(), 1);
+      std::string file = directory_ / "operator";
       if (recorded)
         ::execl(VIOLETUSHER_PROGRAM, "violetusher", "--operator", file.c_str(), nullptr);
       else
@@ -45,34 +45,34 @@
       ::_exit(127);
     }
     ::close(out[1]);
-    said_ = Fd(out[0]);
-    std::string text = until("listens on");
+    log_ = Fd(out[0]);
+    std::string text = read_log_until("listens on");
     port_ = static_cast<std::uint16_t>(std::stoi(text.substr(text.rfind(':') + 1)));
   }
-  /// What it has said up to a line with `words`, that line included.
-  std::string until(const std::string& words) {
+  /// Reads the log up to and including a line that contains `words`.
+  std::string read_log_until(const std::string& words) {
     std::string text;
     char byte;
-    while (::read(said_.get(), &byte, 1) == 1) {
+    while (::read(log_.get(), &byte, 1) == 1) {
       text += byte;
       if (byte == '\n' && text.find(words) != text.npos) return text;
     }
     ADD_FAILURE() << "never said '" << words << "': " << text;
     return text;
   }
-  void end(int signal) {
+  void stop_with(int signal) {
     if (pid_ <= 0) return;
     ::kill(pid_, signal);
     ::waitpid(pid_, nullptr, 0);
     pid_ = -1;
   }
-  std::string path() const { return folder_ / "recording"; }
+  std::string path() const { return directory_ / "recording"; }
   std::uint16_t port() const { return port_; }
   int pid() const { return pid_; }
 
  private:
-  fs::path folder_;
-  Fd said_;
+  fs::path directory_;
+  Fd log_;
   int pid_ = -1;
   std::uint16_t port_ = 0;
 };
@@ -94,11 +94,11 @@
   EXPECT_EQ(client.line(), "VA 5 O" + id);
 }
 
-TEST(FlightOfADaemon, SurvivesSigkillAndTheNextStart) {
+TEST(DaemonRecording, SurvivesSigkillAndTheNextStart) {
   LineServer cache(good_cache);
   Daemon daemon(cache, true);
   for (int k = 0; k < 20; ++k) ask(daemon.port(), "a" + std::to_string(k));
-  daemon.end(SIGKILL);
+  daemon.stop_with(SIGKILL);
   auto lines = read(daemon.path());
   ASSERT_EQ(lines.size(), 20u);
   for (const auto& line : lines) {
@@ -114,27 +114,28 @@
   EXPECT_EQ(read(daemon.path()).size(), 0u);
 }
 
-TEST(FlightOfADaemon, IsCopiedWhenAsked) {
+TEST(DaemonRecording, IsCopiedOnRequest) {
   LineServer cache(good_cache);
   Daemon daemon(cache, true);
   ask(daemon.port(), "a1");
   ::kill(daemon.pid(), SIGUSR2);
-  daemon.until("a copy was put beside the recording");
+  daemon.read_log_until("a copy was put beside the recording");
   ask(daemon.port(), "a2");
   EXPECT_EQ(read(daemon.path() + ".asked-1").size(), 1u);
 }
 
-TEST(FlightOfADaemon, WithoutAnOperatorFileThereIsNoneAndTheSignalIsHarmless) {
+TEST(DaemonRecording, WithoutAnOperatorFileTheCopySignalIsHarmless) {
   LineServer cache(good_cache);
   Daemon daemon(cache, false);
   ::kill(daemon.pid(), SIGUSR2);
-  daemon.until("nothing is recorded");
+  daemon.read_log_until("nothing is recorded");
   ask(daemon.port(), "a1");
   EXPECT_FALSE(fs::exists(daemon.path()));
 }
 
-/// What the platform counts: nothing more is opened or held than the loop and the listener need.
-TEST(Footprint, WithoutAnOperatorFileIsThatOfTheLoopAndTheListener) {
+/// The platform limits descriptors and memory: no more may be open than the event loop and the
+/// listener need.
+TEST(Footprint, WithoutAnOperatorFileOnlyTheLoopAndTheListenerAreOpen) {
   LineServer cache(good_cache);
   auto links = [](const std::string& of) {
     std::vector<std::string> all;
@@ -145,7 +146,7 @@
     return all;
   };
   Daemon daemon(cache, false);
-  auto ours = links("self");  // what the test itself was given, the daemon inherits
+  auto ours = links("self");  // inherited by the daemon
   std::string process = "/proc/" + std::to_string(daemon.pid());
   int sockets = 0, loops = 0;
   for (const std::string& what : links(std::to_string(daemon.pid()))) {
@@ -155,7 +156,7 @@
     loops += what.find("[eventpoll]") != what.npos;
   }
   EXPECT_EQ(loops, 1);
-  EXPECT_LE(sockets, 5);  // the listener, two for signals, a call of discovery that may be out
+  EXPECT_LE(sockets, 5);  // the listener, two for signals, a possible discovery call
 #if !defined(__SANITIZE_ADDRESS__)
   for (int k = 0; k < 50; ++k) ask(daemon.port(), "a" + std::to_string(k));
   std::ifstream status(process + "/status");
@@ -164,7 +165,7 @@
   while (status >> word)
     if (word == "VmRSS:") status >> resident;
   EXPECT_GT(resident, 0);
-  EXPECT_LT(resident, 12 * 1024) << "KiB, where the platform gives 32 MiB";
+  EXPECT_LT(resident, 12 * 1024) << "KiB; the platform allows 32 MiB";
 #endif
 }
 
--- a/tests/daemon/process_support.hpp
+++ b/tests/daemon/process_support.hpp
@@ -1,5 +1,5 @@
-// The program itself for tests: started with a configuration of its own, perhaps under the fault
-// library, its log read, and ended with the object; and a discovery that holds watches.
+// Test support: runs the daemon as a process with its own configuration, optionally under the fault
+// injection library, and reads its log; and a discovery service that supports long-poll watches.
 #pragma once
 
 #include <signal.h>
@@ -22,8 +22,8 @@
 
 inline void sleep_ms(int ms) { std::this_thread::sleep_for(std::chrono::milliseconds(ms)); }
 
-/// Waits until `holds` is true, for `limit_ms` at most.
-inline bool within(int limit_ms, const std::function<bool()>& holds) {
+/// Waits until `holds` returns true, for `limit_ms` at most.
+inline bool wait_until(int limit_ms, const std::function<bool()>& holds) {
   auto end = std::chrono::steady_clock::now() + std::chrono::milliseconds(limit_ms);
   do {
     if (holds()) return true;
@@ -32,19 +32,19 @@
   return holds();
 }
 
-/// A folder that goes with the object.
-class Scratch {
+/// A directory that is removed with the object.
+class TemporaryDirectory {
  public:
-  Scratch() {
+  TemporaryDirectory() {
     std::string pattern = ::testing::TempDir() + "/violetusher-XXXXXX";
     path_ = ::mkdtemp(pattern.data());
   }
-  Scratch(const Scratch&) = delete;
-  Scratch& operator=(const Scratch&) = delete;
-  ~Scratch() { std::filesystem::remove_all(path_); }
+  TemporaryDirectory(const TemporaryDirectory&) = delete;
+  TemporaryDirectory& operator=(const TemporaryDirectory&) = delete;
+  ~TemporaryDirectory() { std::filesystem::remove_all(path_); }
   const std::string& path() const { return path_; }
   std::string file(const std::string& name) const { return path_ + "/" + name; }
-  /// Under the name at once and whole, as an editor or a roll-out puts it there.
+  /// Writes the file atomically, as an editor or a rollout does.
   void write(const std::string& name, const std::string& text) const {
     std::string fresh = file("." + name);
     std::ofstream(fresh, std::ios::trunc) << text;
@@ -59,18 +59,18 @@
   std::string path_;
 };
 
-/// One daemon. Its folder holds config.json, which the test writes, faults, its log, and what it
-/// keeps itself.
+/// A daemon process. Its directory holds config.json, written by the test, the fault script, its
+/// log, and its own state.
 class Daemon {
  public:
   struct Options {
-    bool faults = false;  ///< runs under the fault library, by the script "faults" in the folder
+    bool faults = false;  ///< runs under the fault library, with the script "faults"
     std::vector<std::string> arguments;
     std::vector<std::string> environment;  ///< NAME=VALUE
   };
 
-  Daemon(const Scratch& folder, Options options) : folder_(folder) { start(options); }
-  explicit Daemon(const Scratch& folder) : Daemon(folder, Options()) {}
+  Daemon(const TemporaryDirectory& folder, Options options) : folder_(folder) { start(options); }
+  explicit Daemon(const TemporaryDirectory& folder) : Daemon(folder, Options()) {}
   Daemon(const Daemon&) = delete;
   Daemon& operator=(const Daemon&) = delete;
   ~Daemon() {
@@ -83,7 +83,7 @@
     signal(SIGKILL);
     wait();
   }
-  /// Its exit code, or minus the signal that ended it.
+  /// Returns its exit code, or the negative number of the signal that ended it.
   int wait() {
     int status = 0;
     ::waitpid(pid_, &status, 0);
@@ -91,13 +91,13 @@
     return WIFSIGNALED(status) ? -WTERMSIG(status) : WEXITSTATUS(status);
   }
   std::string log() const { return folder_.read(log_name_); }
-  bool says(const std::string& what, int limit_ms = kTestTimeoutMs) const {
-    return within(limit_ms, [&] { return log().find(what) != std::string::npos; });
+  bool logs(const std::string& what, int limit_ms = kTestTimeoutMs) const {
+    return wait_until(limit_ms, [&] { return log().find(what) != std::string::npos; });
   }
-  /// Its port for clients, once it listens; 0 where it does not come to that.
+  /// Waits for its port for clients; 0 if it doesn't start to listen.
   std::uint16_t port() const {
     const std::string mark = "listens on 127.0.0.1:";
-    if (!says(mark)) return 0;
+    if (!logs(mark)) return 0;
     std::string text = log();
     return static_cast<std::uint16_t>(std::atoi(text.c_str() + text.find(mark) + mark.size()));
   }
@@ -116,7 +116,7 @@
       settings.push_back("VIOLETUSHER_FAULTS=" + folder_.file("faults"));
       settings.push_back("VIOLETUSHER_FAULTS_LOG=" + folder_.file("faults.log"));
     }
-    // Another build of the daemon, which the tests are to fail on.
+    // Another build of the daemon, on which the tests are expected to fail.
     const char* planted = std::getenv("VIOLETUSHER_TESTED_PROGRAM");
     std::string program = planted ? planted : VIOLETUSHER_PROGRAM;
     pid_ = ::fork();
@@ -135,12 +135,12 @@
     ::_exit(127);
   }
 
-  const Scratch& folder_;
+  const TemporaryDirectory& folder_;
   std::string log_name_;
   pid_t pid_ = -1;
 };
 
-/// A port that nobody listens on now.
+/// A port without a listener at the moment.
 inline std::uint16_t free_port() {
   Fd fd(::socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0));
   sockaddr_in a = loopback(0);
@@ -150,11 +150,11 @@
   return ntohs(a.sin_port);
 }
 
-/// Discovery, or an agent that has its list: answers at once where there is news, holds watches for
-/// the time that they ask for, and keeps connections.
-class HoldingDiscovery {
+/// A discovery service, or an agent with its list: answers at once if the list has changed, else
+/// holds a watch for the time it requests; connections are kept alive.
+class LongPollDiscovery {
  public:
-  explicit HoldingDiscovery(const std::map<std::string, std::string>& dials)
+  explicit LongPollDiscovery(const std::map<std::string, std::string>& dials)
       : listener_(::socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0)) {
     for (const auto& [id, dial] : dials) entries_[id] = host_entry(id, dial);
     sockaddr_in a = loopback(0);
@@ -165,7 +165,7 @@
     port_ = ntohs(a.sin_port);
     accepting_ = std::thread([this] { accept(); });
   }
-  ~HoldingDiscovery() {
+  ~LongPollDiscovery() {
     {
       std::lock_guard lock(mutex_);
       stop_ = true;
@@ -182,16 +182,16 @@
   std::string address() const { return loopback_text(port_); }
   int calls() const { return calls_; }
   int connections() const { return connections_; }
-  /// The list names this start of the server, in milliseconds of Unix time.
-  void started(const std::string& id, const std::string& dial, std::int64_t born_ms) {
+  /// Sets the server's start time in the list, in milliseconds of Unix time.
+  void set_start_time(const std::string& id, const std::string& dial, std::int64_t born_ms) {
     std::lock_guard lock(mutex_);
     const std::string none = "\"born_ms\":0";
     std::string entry = host_entry(id, dial);
     entry.replace(entry.find(none), none.size(), "\"born_ms\":" + std::to_string(born_ms));
     entries_[id] = entry;
   }
-  /// From now on the server is told of as "leaving", "active" or "left".
-  void tell(const std::string& id, const std::string& dial, const std::string& health) {
+  /// Lists the server as "leaving", "active" or "left" from now on.
+  void set_health(const std::string& id, const std::string& dial, const std::string& health) {
     std::lock_guard lock(mutex_);
     entries_[id] = host_entry(id, dial, health);
     last_ = id;
@@ -248,7 +248,7 @@
     return list(index + 1 != version_);
   }
 
-  /// Whole, or what changed last.
+  /// The full list, or the last change.
   std::string list(bool whole) const {
     std::vector<std::string> entries;
     for (const auto& [id, entry] : entries_)
--- a/tests/net/ban_log_test.cpp
+++ b/tests/net/ban_log_test.cpp
@@ -1,4 +1,4 @@
-// The file of bans: two processes, torn lines, its bound.
+// The ban log: concurrent writers, partial lines, and compaction.
 #include "net/ban_log.hpp"
 
 #include <gtest/gtest.h>
@@ -17,68 +17,70 @@
  protected:
   BanLogTest() {
     std::string pattern = ::testing::TempDir() + "/bans-XXXXXX";
-    folder_ = ::mkdtemp(pattern.data());
-    path_ = folder_ + "/bans";
+    directory_ = ::mkdtemp(pattern.data());
+    path_ = directory_ + "/bans";
   }
-  ~BanLogTest() override { std::filesystem::remove_all(folder_); }
-  bool append(const std::string& id, bool out) {
-    return append_bans(path_, {{id, out}}, false).done();
+  ~BanLogTest() override { std::filesystem::remove_all(directory_); }
+  bool append(const std::string& id, bool banned) {
+    return append_bans(path_, {{id, banned}}, false).done();
   }
-  std::string folder_, path_;
+  std::string directory_, path_;
 };
 
-/// What a process that follows the file holds for out.
+/// The servers that a process which reads the file considers banned.
 struct Follower {
   explicit Follower(const std::string& path) : reader(path) {}
   bool poll() {
-    std::set<std::string> before = out;
-    BanLogReader::News news;
-    if (!reader.poll(news).done()) return false;
-    if (news == BanLogReader::News::kWhole || news == BanLogReader::News::kOther) out.clear();
+    std::set<std::string> before = banned;
+    BanLogReader::Update update;
+    if (!reader.poll(update).done()) return false;
+    if (update == BanLogReader::Update::kCompacted || update == BanLogReader::Update::kReplaced)
+      banned.clear();
     for (const BanLine& line : reader.lines())
-      line.out ? static_cast<void>(out.insert(line.id)) : static_cast<void>(out.erase(line.id));
-    return out != before;
+      line.banned ? static_cast<void>(banned.insert(line.id))
+                  : static_cast<void>(banned.erase(line.id));
+    return banned != before;
   }
   BanLogReader reader;
-  std::set<std::string> out;
+  std::set<std::string> banned;
 };
 
-TEST_F(BanLogTest, TwoWritersAndALateReaderAgree) {
+TEST_F(BanLogTest, ReadersAgreeAcrossCompactions) {
   Follower a(path_), b(path_);
   std::set<std::string> model;
   std::mt19937 random(7);
-  for (int k = 0; k < 20'000; ++k) {  // past the bound many times
+  for (int k = 0; k < 20'000; ++k) {  // many compactions
     std::string id = "s-" + std::to_string(random() % 40);
-    bool out = random() % 2;
-    ASSERT_TRUE(append(id, out));
-    out ? model.insert(id).second : model.erase(id) > 0;
+    bool banned = random() % 2;
+    ASSERT_TRUE(append(id, banned));
+    banned ? model.insert(id).second : model.erase(id) > 0;
     if (random() % 5 == 0) a.poll();
     if (random() % 50 == 0) b.poll();
     if (k % 1000 == 0) {
       a.poll(), b.poll();
-      ASSERT_EQ(a.out, model);
-      ASSERT_EQ(b.out, model);
+      ASSERT_EQ(a.banned, model);
+      ASSERT_EQ(b.banned, model);
     }
   }
   Follower late(path_);
   EXPECT_EQ(late.poll(), !model.empty());
-  EXPECT_EQ(late.out, model);
-  EXPECT_LT(std::filesystem::file_size(path_), 2 * kCompactBansAt);
+  EXPECT_EQ(late.banned, model);
+  EXPECT_LT(std::filesystem::file_size(path_), 2 * kCompactionThresholdBytes);
 }
 
-TEST_F(BanLogTest, TornAndForeignLinesSayNothing) {
+TEST_F(BanLogTest, PartialAndInvalidLinesAreIgnored) {
   Follower a(path_);
   ASSERT_TRUE(append("s-1", true));
   std::ofstream(path_, std::ios::app) << "nonsense\nOFFLINE \nHEALTH\n"
                                       << std::string(100'000, 'x') << "\nOFFLINE s-2";
   a.poll();
-  EXPECT_EQ(a.out, std::set<std::string>{"s-1"});  // s-2's end has not come
-  ASSERT_TRUE(append("s-3", true));                // in place of the torn line
+  EXPECT_EQ(a.banned, std::set<std::string>{"s-1"});  // the line of s-2 is incomplete
+  ASSERT_TRUE(append("s-3", true));                   // replaces the partial line
   a.poll();
-  EXPECT_EQ(a.out, (std::set<std::string>{"s-1", "s-3"}));
+  EXPECT_EQ(a.banned, (std::set<std::string>{"s-1", "s-3"}));
 }
 
-TEST_F(BanLogTest, ALineTornAtAnyByteNeverBecomesAnotherOne) {
+TEST_F(BanLogTest, APartialLineNeverMergesWithTheNextOne) {
   std::string line = "OFFLINE s-123456\n";
   for (std::size_t torn = 0; torn <= line.size(); ++torn) {
     std::ofstream(path_, std::ios::trunc) << "OFFLINE s-0\n" << line.substr(0, torn);
@@ -90,28 +92,28 @@
     late.poll();
     std::set<std::string> expected{"s-0", "s-9"};
     if (torn == line.size()) expected.insert("s-123456");
-    EXPECT_EQ(late.out, expected) << torn;
-    EXPECT_EQ(early.out, expected) << torn;
+    EXPECT_EQ(late.banned, expected) << torn;
+    EXPECT_EQ(early.banned, expected) << torn;
   }
 }
 
-TEST_F(BanLogTest, GarbageWithoutLinesIsReadInPartsAndWrittenAnew) {
+TEST_F(BanLogTest, GarbageWithoutLinesIsReadInPartsAndCompacted) {
   std::ofstream(path_, std::ios::trunc) << std::string(5u << 20, 'x');
   Follower a(path_);
   a.poll();
   EXPECT_FALSE(a.reader.at_end());
   ASSERT_TRUE(append("s-1", true));
   for (int k = 0; k < 4; ++k) a.poll();
-  EXPECT_EQ(a.out, std::set<std::string>{"s-1"});
-  EXPECT_LT(std::filesystem::file_size(path_), kCompactBansAt);
+  EXPECT_EQ(a.banned, std::set<std::string>{"s-1"});
+  EXPECT_LT(std::filesystem::file_size(path_), kCompactionThresholdBytes);
 }
 
-TEST_F(BanLogTest, WithoutAFolderNothingIsKept) {
+TEST_F(BanLogTest, AMissingDirectoryIsAnError) {
   EXPECT_FALSE(append_bans("", {{"s-1", true}}).done());
-  EXPECT_FALSE(append_bans(folder_ + "/missing/bans", {{"s-1", true}}).done());
-  BanLogReader none(folder_ + "/missing/bans");
-  BanLogReader::News news;
-  EXPECT_EQ(none.poll(news).error, ENOENT);
+  EXPECT_FALSE(append_bans(directory_ + "/missing/bans", {{"s-1", true}}).done());
+  BanLogReader none(directory_ + "/missing/bans");
+  BanLogReader::Update update;
+  EXPECT_EQ(none.poll(update).error, ENOENT);
 }
 
 }  // namespace
--- a/tests/net/discovery_test.cpp
+++ b/tests/net/discovery_test.cpp
@@ -1,4 +1,4 @@
-// Discovery that falls silent, or answers what is no list, against the real router.
+// A discovery service that stops answering or sends invalid answers, against the real router.
 #include "net/discovery.hpp"
 
 #include "net_support.hpp"
@@ -13,10 +13,10 @@
 
 const std::string kSilence;
 
-/// Answers the n-th call with the n-th text, and those behind the last as the last one.
-class Scripted {
+/// Answers the n-th call with the n-th text, and all later calls with the last one.
+class ScriptedDiscovery {
  public:
-  explicit Scripted(std::vector<std::string> answers)
+  explicit ScriptedDiscovery(std::vector<std::string> answers)
       : answers_(std::move(answers)), server_([this](const std::string& line, int) {
           if (line.rfind("GET ", 0) != 0) return kSilence;
           std::size_t call = calls_++;
@@ -24,7 +24,7 @@
         }) {}
   std::string address() const { return server_.address(); }
   std::size_t calls() const { return calls_; }
-  /// False where they do not come within `ms`.
+  /// Waits for so many calls; false if they don't arrive within `ms`.
   bool reaches(std::size_t calls, int ms) const {
     for (int k = 0; k < ms && calls_ < calls; ++k)
       std::this_thread::sleep_for(std::chrono::milliseconds(1));
@@ -37,14 +37,14 @@
   LineServer server_;
 };
 
-/// The users' report. A watch falls silent; a price cache begins to drain and stays up, so that
-/// nothing but discovery tells of it. What the watch missed counts as told 6 s after it fell
-/// silent.
-TEST(Membership, ASilentWatchKeepsNoRequestsGoingToALeavingPriceCache) {
+/// A watch stops answering while a cache server starts to drain and stays up, so that only
+/// discovery reports it. The router must learn of it within 6 s of the watch's failure.
+TEST(Membership, ADrainingServerIsNoticedAlthoughTheWatchStopsAnswering) {
   LineServer leaving(good_cache), staying(good_cache);
   std::vector<std::string> now = {host_entry("s-0", leaving.address(), "leaving"),
                                   host_entry("s-1", staying.address())};
-  Scripted discovery({http(host_list("1", {}, false)), kSilence, http(host_list("2", now))});
+  ScriptedDiscovery discovery(
+      {http(host_list("1", {}, false)), kSilence, http(host_list("2", now))});
   RunningRouter router(
       {.dials = {leaving.address(), staying.address()}, .discovery = discovery.address()});
   Client client(router.port());
@@ -62,40 +62,40 @@
   EXPECT_EQ(leaving.lines().size(), before);
 }
 
-/// The same where discovery is asked: the watch that says nothing is not waited for to its end, and
-/// nobody is told of a failure. Times are a fortieth of those in use.
-TEST(Membership, AnAskedWatchIsRenewedBesideTheSilentOne) {
-  struct Heard : Discovery::Handler {
+/// The same for a router that asks discovery explicitly: a second watch is started before the
+/// silent one times out, and no failure is reported. Times are a fortieth of those in production.
+TEST(Membership, ASecondWatchIsStartedBesideASilentOne) {
+  struct RecordingHandler : Discovery::Handler {
     void on_hosts(HostList&& list, bool) override { version = list.version; }
     void on_hosts_failed() override { ++failed; }
     std::string version;
     int failed = 0;
-  } heard;
-  core::membership::WatchTiming terms = core::membership::polled_timing();
-  for (Micros* t : {&terms.wait, &terms.min_renewal_age, &terms.max_renewal_age,
-                    &terms.immediate_response_timeout, &terms.response_timeout})
+  } handler;
+  core::membership::WatchTiming timing = core::membership::polled_timing();
+  for (Micros* t : {&timing.wait, &timing.min_renewal_age, &timing.max_renewal_age,
+                    &timing.immediate_response_timeout, &timing.response_timeout})
     *t /= 40;
-  Scripted discovery({http(host_list("1", {}, false)), kSilence,
-                      http(host_list("2", {host_entry("s-0", "127.0.0.1:9", "leaving")}, false)),
-                      kSilence});
+  ScriptedDiscovery discovery(
+      {http(host_list("1", {}, false)), kSilence,
+       http(host_list("2", {host_entry("s-0", "127.0.0.1:9", "leaving")}, false)), kSilence});
   EventBasePtr base(event_base_new());
   SystemIo io(base.get());
   DescriptorSink sink;
   Log log(sink);
-  Discovery asked(io, discovery.address(), "1", terms, 1, heard, log);
+  Discovery asked(io, discovery.address(), "1", timing, 1, handler, log);
   asked.watch();
   auto silent = io.alarm([] {});
-  for (int k = 0; k < 3000 && heard.version != "2" && heard.failed == 0; ++k) {
-    silent->set(kMillisecond);  // so that nothing hangs where no call is made
+  for (int k = 0; k < 3000 && handler.version != "2" && handler.failed == 0; ++k) {
+    silent->set(kMillisecond);  // keeps run_once() from blocking when no call is due
     io.run_once();
   }
-  EXPECT_EQ(heard.version, "2");
-  EXPECT_EQ(heard.failed, 0);
+  EXPECT_EQ(handler.version, "2");
+  EXPECT_EQ(handler.failed, 0);
   EXPECT_LT(asked.age(), 10 * kSecond);
 }
 
-/// Bad answers bring no price cache back that was announced as leaving, and stop no watch.
-TEST(Membership, BadAnswersChangeNothingButWhatIsSound) {
+/// Invalid and outdated answers must not restore a draining cache server, nor end the watch.
+TEST(Membership, InvalidAnswersDontRestoreADrainingServer) {
   LineServer leaving(good_cache), staying(good_cache), fresh(good_cache);
   std::string out = host_entry("s-0", leaving.address(), "leaving");
   std::string back = host_entry("s-0", leaving.address());
@@ -108,16 +108,16 @@
       "HTTP/1.1 200 OK\r\nContent-Length: 900\r\n\r\n{\"seq\":9,",
       "no HTTP at all\r\n\r\n",
       http("", "503 Service Unavailable"),
-      http(host_list("3", {back, stays})),                              // older than what is held
-      http(host_list("3", {back}, false)),                              // and as a change
-      http(host_list("8", {back, stays, out})),                         // twice
-      http(host_list("8", {host_entry("s-0", "x", "active"), stays})),  // no address
+      http(host_list("3", {back, stays})),       // older than the list in use
+      http(host_list("3", {back}, false)),       // the same as a delta
+      http(host_list("8", {back, stays, out})),  // listed twice
+      http(host_list("8", {host_entry("s-0", "x", "active"), stays})),  // invalid address
       http(host_list("8", {host_entry("s-0", leaving.address(), "well"), stays})),
       http(host_list("8", {"5", stays, out})),
       kSilence,
       http(host_list("9", {out, stays, host_entry("s-2", fresh.address()),
                            host_entry("s-7", fresh.address(), "left")}))};
-  Scripted discovery(answers);
+  ScriptedDiscovery discovery(answers);
   RunningRouter router(
       {.dials = {leaving.address(), staying.address()}, .discovery = discovery.address()});
   ASSERT_TRUE(router.eventually([](Router& r) { return r.list_version() != "1"; }));
@@ -137,10 +137,9 @@
   EXPECT_FALSE(fresh.lines().empty());
 }
 
-/// A deployment far larger than the bench's: 350 routers, 1,024 price caches on one list that
-/// discovery then replaces whole, with the most descriptors that a router may have. No server is
-/// left out, and no more connections are open than fit.
-TEST(Size, AThousandPriceCachesAreAllUsedWithinTheDescriptors) {
+/// A large deployment: 350 routers and 1,024 cache servers, with a list that discovery then
+/// replaces completely. Every server must be used, within the descriptor limit of the router.
+TEST(Size, AThousandServersAreAllUsedWithinTheDescriptorLimit) {
   constexpr std::size_t kCaches = 1024, kAddresses = 8;
   std::vector<std::unique_ptr<LineServer>> caches;
   for (std::size_t k = 0; k < kAddresses; ++k)
@@ -152,7 +151,7 @@
     entries.push_back(
         host_entry("s-" + std::to_string(k), options.dials.back(), k % 2 ? "active" : "leaving"));
   }
-  Scripted discovery({http(host_list("2", entries))});
+  ScriptedDiscovery discovery({http(host_list("2", entries))});
   options.discovery = discovery.address();
   RunningRouter router(options);
   ASSERT_TRUE(router.eventually([](Router& r) { return r.list_version() == "2"; }));
@@ -169,12 +168,12 @@
   }
   EXPECT_LE(most, 334u);
   router.post([](Router& r) { EXPECT_EQ(r.server_pools(), 1024u); });
-  for (std::size_t k = 0; k < kAddresses; ++k)  // those of even places leave
+  for (std::size_t k = 0; k < kAddresses; ++k)  // those with even numbers drain
     EXPECT_EQ(caches[k]->lines().empty(), k % 2 == 0) << k;
 }
 
-/// An indented list is one (FLEET).
-TEST(Membership, AListMayComeIndented) {
+/// JSON with indentation is valid.
+TEST(Membership, AListMayBeIndented) {
   HostList list = parse_host_list(
       "{\n  \"seq\": 4,\n  \"whole\": true,\n  \"hosts\": [\n    {\n      \"host\": \"s-0\",\n"
       "      \"dial\": \"127.0.0.1:9\",\n      \"health\": \"leaving\"\n    }\n  ]\n}\n");
@@ -184,32 +183,32 @@
   EXPECT_EQ(list.fault, "");
 }
 
-/// Discovery that was restored from a copy counts from anew: who leaves stays so, unless it has
-/// started anew, until it is confirmed.
-TEST(HostRegistry, ADoubtedListBringsNobodyBack) {
+/// A discovery service restored from a backup restarts its sequence numbers. Until such a list is
+/// confirmed, draining servers stay draining unless they have restarted.
+TEST(HostRegistry, AnUnconfirmedListRestoresNoServer) {
   auto list = [](const std::string& seq, std::vector<std::string> entries) {
     return parse_host_list(host_list(seq, entries));
   };
   std::string a = host_entry("s-a", "127.0.0.1:1"), b = host_entry("s-b", "127.0.0.1:2"),
               c = host_entry("s-c", "127.0.0.1:3");
-  HostRegistry book(list("8", {a, host_entry("s-b", "127.0.0.1:2", "leaving"), c}));
-  book.apply(list("9", {a, host_entry("s-b", "127.0.0.1:2", "leaving")}));  // s-c has left
+  HostRegistry registry(list("8", {a, host_entry("s-b", "127.0.0.1:2", "leaving"), c}));
+  registry.apply(list("9", {a, host_entry("s-b", "127.0.0.1:2", "leaving")}));  // s-c is removed
   auto health = [&](const char* id) {
     auto found = violetusher::Health::Removed;
-    book.each([&](const Host& h) {
+    registry.each([&](const Host& h) {
       if (h.server.id == id) found = h.server.health;
     });
     return found;
   };
-  book.apply(list("2", {a, b, c}), /*doubted=*/true);
+  registry.apply(list("2", {a, b, c}), /*unconfirmed=*/true);
   EXPECT_EQ(health("s-a"), violetusher::Health::Ready);
   EXPECT_EQ(health("s-b"), violetusher::Health::Draining);
   EXPECT_EQ(health("s-c"), violetusher::Health::Draining);
   std::string again = b;
   again.replace(again.find("\"born_ms\":0"), 11, "\"born_ms\":5");
-  book.apply(list("2", {a, again, c}), true);
+  registry.apply(list("2", {a, again, c}), true);
   EXPECT_EQ(health("s-b"), violetusher::Health::Ready);
-  book.apply(list("2", {a, b, c}));
+  registry.apply(list("2", {a, b, c}));
   EXPECT_EQ(health("s-c"), violetusher::Health::Ready);
 }
 
