--- a/src/core/audit/activity_recorder.cpp
+++ b/src/core/audit/activity_recorder.cpp
@@ -15,81 +15,82 @@
 
 }  // namespace
 
-ActivityRecorder::ActivityRecorder(std::function<Versions()> versions, Out out)
-    : versions_(std::move(versions)), out_(std::move(out)) {}
+ActivityRecorder::ActivityRecorder(std::function<Versions()> versions, Sink sink)
+    : versions_(std::move(versions)), sink_(std::move(sink)) {}
 
-void ActivityRecorder::set_serving(const std::string& server, bool yes) {
-  if (yes ? !serving_.insert(server).second : serving_.erase(server) == 0) return;
+void ActivityRecorder::set_serving(const std::string& server, bool serving) {
+  if (serving ? !serving_.insert(server).second : serving_.erase(server) == 0) return;
   // There and back between two views is no change.
-  auto& now = yes ? in_ : left_;
-  auto& before = yes ? left_ : in_;
+  auto& now = serving ? added_ : removed_;
+  auto& before = serving ? removed_ : added_;
   if (before.erase(server) == 0) now.insert(server);
 }
 
 void ActivityRecorder::changed(Micros now) {
   Versions versions = versions_();
-  if (!all_ && versions == held_ && in_.empty() && left_.empty()) return;
+  if (!full_view_pending_ && versions == versions_in_view_ && added_.empty() && removed_.empty())
+    return;
   end_period(now);
-  held_ = std::move(versions);
-  Json body = {{"k", "view"}, {"at", now}, {"view", ++view_}, {"versions", held_}};
-  if (all_) {
+  versions_in_view_ = std::move(versions);
+  Json body = {{"k", "view"}, {"at", now}, {"view", ++view_}, {"versions", versions_in_view_}};
+  if (full_view_pending_) {
     body["all"] = true;
     body["in"] = serving_;
   } else {
-    body["in"] = in_;
-    body["out"] = left_;
+    body["in"] = added_;
+    body["out"] = removed_;
   }
-  all_ = false;
-  in_.clear(), left_.clear();
-  out_(text(body));
+  full_view_pending_ = false;
+  added_.clear(), removed_.clear();
+  sink_(text(body));
 }
 
 void ActivityRecorder::tick(Micros now) {
-  if (all_) {
+  if (full_view_pending_) {
     changed(now);
-  } else if (done_) {
+  } else if (active_) {
     end_period(now);
   }
 }
 
 void ActivityRecorder::end_period(Micros now) {
-  if (done_) {
+  if (active_) {
     Json sent = Json::object(), refused = Json::object();
     for (const auto& [server, counts] : sent_)
       for (std::size_t k = 0; k < counts.size(); ++k)
         if (counts[k]) sent[server][types_[k]] = counts[k];
     for (std::size_t k = 0; k < refused_.size(); ++k)
       if (refused_[k]) refused[types_[k]] = refused_[k];
-    out_(text({{"k", "did"},
-               {"view", view_},
-               {"from", from_},
-               {"to", now},
-               {"sent", std::move(sent)},
-               {"refused", std::move(refused)}}));
+    sink_(text({{"k", "did"},
+                {"view", view_},
+                {"from", period_start_},
+                {"to", now},
+                {"sent", std::move(sent)},
+                {"refused", std::move(refused)}}));
   }
   sent_.clear(), refused_.clear();
-  done_ = false;
-  from_ = now;
+  active_ = false;
+  period_start_ = now;
 }
 
 std::uint32_t ActivityRecorder::type_of(std::string_view name) {
   auto at = std::find(types_.begin(), types_.end(), name);
-  if (at == types_.end() && types_.size() < kMostTypes) at = types_.emplace(at, name);
-  return static_cast<std::uint32_t>(std::min<std::ptrdiff_t>(at - types_.begin(), kMostTypes - 1));
+  if (at == types_.end() && types_.size() < kMaxTypes) at = types_.emplace(at, name);
+  return static_cast<std::uint32_t>(std::min<std::ptrdiff_t>(at - types_.begin(), kMaxTypes - 1));
 }
 
 void ActivityRecorder::sent(const std::string& server, std::uint32_t type) {
   auto& counts = sent_[server];
   if (counts.size() <= type) counts.resize(type + 1);
   ++counts[type];
-  done_ = true;
+  active_ = true;
 }
 
 void ActivityRecorder::refused(std::string_view type) {
   std::uint32_t number = type_of(type);
   if (refused_.size() <= number) refused_.resize(number + 1);
   ++refused_[number];
-  done_ = true;
+  active_ = true;
 }
 
 }  // namespace violetusher::core::audit
--- a/src/core/audit/activity_recorder.hpp
+++ b/src/core/audit/activity_recorder.hpp
@@ -20,22 +20,22 @@
  public:
   /// Of what there are versions, and which: "list" -> "4812", "settings" -> a digest.
   using Versions = std::map<std::string, std::string>;
-  using Out = std::function<void(std::string body)>;
+  using Sink = std::function<void(std::string body)>;
   /// Of all settings that this process has had; more are counted as the last one.
-  static constexpr std::size_t kMostTypes = 256;
+  static constexpr std::size_t kMaxTypes = 256;
 
   /// `versions` is asked at each change, `out` gets the bodies.
-  ActivityRecorder(std::function<Versions()> versions, Out out);
+  ActivityRecorder(std::function<Versions()> versions, Sink sink);
 
   /// Whether the server gets anything new from here on. Takes effect with changed().
-  void set_serving(const std::string& server, bool yes);
+  void set_serving(const std::string& server, bool serving);
   /// Something that the router acts on may have changed: where it has, the period ends and another
   /// view begins. To be called before anything is done under it.
   void changed(Micros now);
   /// Ends a period in which something was done.
   void tick(Micros now);
   /// The reader may have missed what was written: the next view says all there is.
-  void write_full_view() { all_ = true; }
+  void write_full_view() { full_view_pending_ = true; }
 
   /// A class's number, for sent(); the same for as long as the process runs.
   std::uint32_t type_of(std::string_view name);
@@ -50,16 +50,16 @@
   void end_period(Micros now);
 
   std::function<Versions()> versions_;
-  Out out_;
+  Sink sink_;
   std::uint64_t view_ = 0;
-  Versions held_;
-  std::set<std::string> serving_, in_, left_;  // of the list; since the last view
-  bool all_ = true;
-  Micros from_ = 0;
+  Versions versions_in_view_;
+  std::set<std::string> serving_, added_, removed_;  // of the list; since the last view
+  bool full_view_pending_ = true;
+  Micros period_start_ = 0;
   std::vector<std::string> types_;
   std::unordered_map<std::string, std::vector<std::uint64_t>> sent_;  // by type
   std::vector<std::uint64_t> refused_;
-  bool done_ = false;  // anything since from_
+  bool active_ = false;  // anything since period_start_
 };
 
 }  // namespace violetusher::core::audit
--- a/src/core/audit/history.cpp
+++ b/src/core/audit/history.cpp
@@ -5,91 +5,94 @@
 namespace violetusher::core::audit {
 
 /// Goes through one trail.
-class History::Walk {
+class History::TrailWalker {
  public:
-  Walk(History& h, const std::string& router) : h_(h), router_(router) {}
+  TrailWalker(History& h, const std::string& router) : h_(h), router_(router) {}
 
-  void take(const Block& b) {
+  void consume(const Block& b) {
     // Blocks are written by the program, but read from a disk: whatever is not as expected is a
     // block of nothing.
-    if (!b.body.is_object()) return lose("block " + std::to_string(b.number) + " can't be read");
+    if (!b.body.is_object())
+      return mark_unknown("block " + std::to_string(b.number) + " can't be read");
     try {
       const std::string kind = b.body.value("k", "");
-      if (b.number != next_ && next_ > 0) lose("blocks are missing");
+      if (b.number != next_ && next_ > 0) mark_unknown("blocks are missing");
       next_ = b.number + 1;
-      if (kind == "file" && b.body.value("why", "") == "start") process_began();
-      if (kind == "gap") gap(b.body);
-      if (kind == "view") view(b.body);
-      if (kind == "did") did(b.body);
+      if (kind == "file" && b.body.value("why", "") == "start") on_process_start();
+      if (kind == "gap") on_gap(b.body);
+      if (kind == "view") on_view(b.body);
+      if (kind == "did") on_activity(b.body);
     } catch (const Json::exception&) {
-      lose("block " + std::to_string(b.number) + " can't be read");
+      mark_unknown("block " + std::to_string(b.number) + " can't be read");
     }
   }
 
   void end() {
-    if (span_) h_.spans_.push_back(std::move(*span_));
-    span_.reset();
+    if (period_) h_.periods_.push_back(std::move(*period_));
+    period_.reset();
     h_.last_known_[router_] = std::max(h_.last_known_[router_], last_);
   }
 
  private:
   /// What comes until the next view that says all can't be judged.
-  void lose(const std::string& why) {
-    close(last_, true);
-    if (judged_) h_.unknown_.push_back({router_, why, last_, last_, 0});
-    judged_ = false;
+  void mark_unknown(const std::string& why) {
+    close_period(last_, true);
+    if (serving_known_) h_.unknown_.push_back({router_, why, last_, last_, 0});
+    serving_known_ = false;
   }
 
-  void close(Micros at, bool open) {
-    if (!span_) return;
-    span_->to = std::max(span_->to, at);
-    span_->open = open;
-    h_.spans_.push_back(std::move(*span_));
-    span_.reset();
+  void close_period(Micros at, bool open) {
+    if (!period_) return;
+    period_->to = std::max(period_->to, at);
+    period_->open = open;
+    h_.periods_.push_back(std::move(*period_));
+    period_.reset();
   }
 
-  void process_began() {
-    close(last_, true);
-    judged_ = false, view_ = 0, view_began_ = true;
+  void on_process_start() {
+    close_period(last_, true);
+    serving_known_ = false, view_ = 0, first_view_of_process_ = true;
     serving_.clear();
-    seen_.clear();
+    views_seen_.clear();
   }
 
-  void gap(const Json& b) {
-    lose(b.value("why", ""));
+  void on_gap(const Json& b) {
+    mark_unknown(b.value("why", ""));
     if (!h_.unknown_.empty()) h_.unknown_.back().to = b.value("to", last_);
     last_ = std::max(last_, b.value("to", last_));
   }
 
-  void view(const Json& b) {
+  void on_view(const Json& b) {
     Micros at = b.at("at");
     std::uint64_t number = b.at("view");
     auto versions = b.at("versions").get<ActivityRecorder::Versions>();
     bool all = b.value("all", false);
-    if (!all && judged_ && number != view_ + 1) lose("views are missing");
-    auto [seen, fresh] = seen_.emplace(number, versions);
+    if (!all && serving_known_ && number != view_ + 1) mark_unknown("views are missing");
+    auto [seen, fresh] = views_seen_.emplace(number, versions);
     if (!fresh && seen->second != versions)
-      h_.violations_.push_back({Violation::Kind::kTwoContents, router_, "", number, 1, at, at});
-    close(at, false);
-    if (!judged_ && all && !h_.unknown_.empty() && h_.unknown_.back().router == router_)
+      h_.violations_.push_back(
+          {Violation::Kind::kConflictingContent, router_, "", number, 1, at, at});
+    close_period(at, false);
+    if (!serving_known_ && all && !h_.unknown_.empty() && h_.unknown_.back().router == router_)
       h_.unknown_.back().to = at;
     if (all) serving_.clear();
-    judged_ |= all;
+    serving_known_ |= all;
     for (const std::string& id : b.value("in", std::vector<std::string>())) serving_.insert(id);
     for (const std::string& id : b.value("out", std::vector<std::string>())) serving_.erase(id);
     view_ = number;
     last_ = std::max(last_, at);
-    span_ = Period{router_, number, at, at, true, view_began_, std::move(versions), {}, {}};
-    view_began_ = false;
+    period_ =
+        Period{router_, number, at, at, true, first_view_of_process_, std::move(versions), {}, {}};
+    first_view_of_process_ = false;
   }
 
-  void did(const Json& b) {
+  void on_activity(const Json& b) {
     std::uint64_t number = b.at("view");
     Micros from = b.at("from"), to = b.at("to");
     auto sent = b.at("sent").get<decltype(Period::sent)>();
     auto refused = b.at("refused").get<decltype(Period::refused)>();
     last_ = std::max(last_, to);
-    if (!span_ || span_->view != number) {
+    if (!period_ || period_->view != number) {
       UnknownInterval u{router_, "done under a view that is not known", from, to, 0};
       for (const auto& [server, types] : sent)
         for (const auto& [type, count] : types) u.attempts += count;
@@ -98,24 +101,24 @@
     }
     for (const auto& [server, types] : sent) {
       std::uint64_t all = 0;
-      for (const auto& [type, count] : types) span_->sent[server][type] += count, all += count;
-      if (judged_ && !serving_.count(server))
+      for (const auto& [type, count] : types) period_->sent[server][type] += count, all += count;
+      if (serving_known_ && !serving_.count(server))
         h_.violations_.push_back(
             {Violation::Kind::kSentToExcludedServer, router_, server, number, all, from, to});
     }
-    for (const auto& [type, count] : refused) span_->refused[type] += count;
-    span_->to = std::max(span_->to, to);
+    for (const auto& [type, count] : refused) period_->refused[type] += count;
+    period_->to = std::max(period_->to, to);
   }
 
   History& h_;
   std::string router_;
-  std::optional<Period> span_;
+  std::optional<Period> period_;
   std::set<std::string> serving_;
-  std::map<std::uint64_t, ActivityRecorder::Versions> seen_;  // of this process
+  std::map<std::uint64_t, ActivityRecorder::Versions> views_seen_;  // of this process
   std::uint64_t view_ = 0, next_ = 0;
   Micros last_ = 0;
-  bool view_began_ = false;  // the next view is the first of its process
-  bool judged_ = false;      // what the router served is known
+  bool first_view_of_process_ = false;  // the next view is the first of its process
+  bool serving_known_ = false;          // what the router served is known
 };
 
 std::string_view name_of(Arrival::Why why) {
@@ -132,15 +135,15 @@
 
 void History::add(const Trail& trail) {
   routers_.insert(trail.router);
-  Walk walk(*this, trail.router);
-  for (const Block& b : trail.blocks) walk.take(b);
-  walk.end();
+  TrailWalker walker(*this, trail.router);
+  for (const Block& b : trail.blocks) walker.consume(b);
+  walker.end();
 }
 
 std::vector<const Period*> History::periods_with(const std::string& kind,
                                                  const std::string& content) const {
   std::vector<const Period*> found;
-  for (const Period& s : spans_) {
+  for (const Period& s : periods_) {
     auto v = s.versions.find(kind);
     if (v != s.versions.end() && v->second == content) found.push_back(&s);
   }
@@ -151,13 +154,13 @@
 
 std::vector<const Period*> History::periods_of(const std::string& router) const {
   std::vector<const Period*> found;
-  for (const Period& s : spans_)
+  for (const Period& s : periods_)
     if (s.router == router) found.push_back(&s);
   return found;
 }
 
-void History::explain(Arrival& a, const std::string& kind, const std::string& content,
-                      Micros begin) const {
+void History::set_reason(Arrival& a, const std::string& kind, const std::string& content,
+                         Micros begin) const {
   if (!a.never && a.after == 0) return;
   Micros end = a.never ? a.last_known : begin + a.after;
   bool before = false, began = false;  // it ran before; it came with a process that began
@@ -178,12 +181,12 @@
   bool gone = a.never && a.last_known < begin;
   a.why = began || gone || !before ? Arrival::Why::kDown
           : unknown                ? Arrival::Why::kUnknown
-                                   : Arrival::Why::kActs;
+                                   : Arrival::Why::kActedOnAnother;
 }
 
 std::vector<const Period*> History::periods_at(Micros time) const {
   std::map<std::string, const Period*> found;
-  for (const Period& s : spans_)
+  for (const Period& s : periods_)
     if (s.from <= time && (time < s.to || (s.open && time == s.to))) found[s.router] = &s;
   std::vector<const Period*> out;
   for (const auto& [router, span] : found) out.push_back(span);
@@ -207,7 +210,7 @@
               known == last_known_.end() ? 0 : known->second,
               Arrival::Why::kFirst,
               {}};
-    explain(a, kind, content, begin);
+    set_reason(a, kind, content, begin);
     out.push_back(std::move(a));
   }
   std::stable_sort(out.begin(), out.end(), [](const Arrival& a, const Arrival& b) {
--- a/src/core/audit/history.hpp
+++ b/src/core/audit/history.hpp
@@ -31,7 +31,7 @@
 struct Violation {
   enum class Kind {
     kSentToExcludedServer,  ///< an attempt went to a server that was to get nothing new
-    kTwoContents,           ///< one router, process and view, and two contents
+    kConflictingContent,    ///< one router, process and view, and two contents
   };
   Kind kind = Kind::kSentToExcludedServer;
   std::string router, server;
@@ -49,10 +49,10 @@
 /// How a version came to a router.
 struct Arrival {
   enum class Why {
-    kFirst,    ///< nobody had it before
-    kActs,     ///< ran all the time, and acted on another one until then
-    kDown,     ///< its process began only then, or no process of it ran at the end
-    kUnknown,  ///< its trail lacks some of the time
+    kFirst,           ///< nobody had it before
+    kActedOnAnother,  ///< ran all the time, and acted on another one until then
+    kDown,            ///< its process began only then, or no process of it ran at the end
+    kUnknown,         ///< its trail lacks some of the time
   };
   std::string router;
   Micros after = 0;       ///< since the first router had it
@@ -68,7 +68,7 @@
   /// Each router's trail once.
   void add(const Trail& trail);
 
-  const std::vector<Period>& spans() const { return spans_; }
+  const std::vector<Period>& periods() const { return periods_; }
   const std::vector<Violation>& violations() const { return violations_; }
   const std::vector<UnknownInterval>& unknown() const { return unknown_; }
   const std::set<std::string>& routers() const { return routers_; }
@@ -85,10 +85,11 @@
   std::vector<Arrival> arrivals(const std::string& kind, const std::string& content) const;
 
  private:
-  class Walk;
-  void explain(Arrival& a, const std::string& kind, const std::string& content, Micros begin) const;
+  class TrailWalker;
+  void set_reason(Arrival& a, const std::string& kind, const std::string& content,
+                  Micros begin) const;
 
-  std::vector<Period> spans_;
+  std::vector<Period> periods_;
   std::vector<Violation> violations_;
   std::vector<UnknownInterval> unknown_;
   std::set<std::string> routers_;
--- a/src/core/audit/summary_replication.cpp
+++ b/src/core/audit/summary_replication.cpp
@@ -18,82 +18,83 @@
 
 }  // namespace
 
-Witnesses::Witnesses(const std::string& name, const std::string& zone,
-                     const std::map<std::string, std::string>& peers, std::size_t count)
-    : hall_(zone), count_(count) {
-  std::vector<std::pair<std::uint64_t, Place>> ranked;
+SummaryReplication::SummaryReplication(const std::string& name, const std::string& zone,
+                                       const std::map<std::string, std::string>& peers,
+                                       std::size_t count)
+    : zone_(zone), count_(count) {
+  std::vector<std::pair<std::uint64_t, Target>> ranked;
   for (const auto& [peer, where] : peers)
     if (peer != name) ranked.push_back({ledger::digest(peer, ledger::digest(name)), {peer, where}});
   std::sort(ranked.begin(), ranked.end(), [](const auto& a, const auto& b) {
     return std::tie(a.first, a.second.name) < std::tie(b.first, b.second.name);
   });
-  for (auto& [rank, place] : ranked) order_.push_back(std::move(place));
+  for (auto& [rank, target] : ranked) ranked_.push_back(std::move(target));
   // Routers that start together don't send together.
-  phase_ = static_cast<Micros>(ledger::digest(name) % kEvery);
+  phase_ = static_cast<Micros>(ledger::digest(name) % kInterval);
 }
 
-std::vector<std::string> Witnesses::due(Micros now) {
+std::vector<std::string> SummaryReplication::next_targets(Micros now) {
   if (next_ < 0) next_ = now + phase_;
   if (count_ == 0 || now < next_) return {};
   // One that was frozen does not make up for what it did not send.
-  next_ = std::max(next_ + kEvery, now + kEvery / 2);
-  std::vector<Place*> chosen;
-  std::set<std::string> halls{hall_};
+  next_ = std::max(next_ + kInterval, now + kInterval / 2);
+  std::vector<Target*> chosen;
+  std::set<std::string> zones{zone_};
   // First each from a hall that has none, then whoever ranks first; of those that do not answer
   // only where there are too few others.
   for (int round = 0; round < 4; ++round)
-    for (Place& p : order_) {
+    for (Target& p : ranked_) {
       if (chosen.size() >= count_) break;
-      bool passed = now < p.passed_until, other = !halls.count(p.zone);
-      if (passed != (round >= 2) || (round % 2 == 0 && !other) ||
+      bool excluded = now < p.excluded_until, other = !zones.count(p.zone);
+      if (excluded != (round >= 2) || (round % 2 == 0 && !other) ||
           std::find(chosen.begin(), chosen.end(), &p) != chosen.end())
         continue;
       chosen.push_back(&p);
-      halls.insert(p.zone);
+      zones.insert(p.zone);
     }
   std::vector<std::string> names;
-  for (Place* p : chosen) {
+  for (Target* p : chosen) {
     names.push_back(p->name);
-    if (++p->unanswered <= kUnanswered) continue;
-    p->passed_until = now + kPassedOver;
+    if (++p->unanswered <= kMaxUnanswered) continue;
+    p->excluded_until = now + kExclusionTime;
     p->unanswered = 0;
   }
   return names;
 }
 
-void Witnesses::held_by(const std::string& witness) {
-  for (Place& p : order_)
-    if (p.name == witness) p.unanswered = 0, p.passed_until = 0;
+void SummaryReplication::acknowledge(const std::string& holder) {
+  for (Target& p : ranked_)
+    if (p.name == holder) p.unanswered = 0, p.excluded_until = 0;
 }
 
-bool Witnesses::hold(const std::string& router, std::uint64_t identity, std::uint64_t number,
-                     Json summary, Micros now) {
-  if (summary.dump(-1, ' ', false, Json::error_handler_t::replace).size() > kMostBytes)
+bool SummaryReplication::store(const std::string& router, std::uint64_t identity,
+                               std::uint64_t number, Json summary, Micros now) {
+  if (summary.dump(-1, ' ', false, Json::error_handler_t::replace).size() > kMaxSummaryBytes)
     return false;
-  auto at = held_.find(router);
-  if (at == held_.end()) {
-    if (held_.size() >= kMostHeld) held_.erase(oldest(held_));
-    at = held_.emplace(router, Held{identity, 0, {}, now}).first;
+  auto at = current_.find(router);
+  if (at == current_.end()) {
+    if (current_.size() >= kMaxStored) current_.erase(oldest(current_));
+    at = current_.emplace(router, StoredSummary{identity, 0, {}, now}).first;
   } else if (at->second.identity != identity) {
-    if (former_.size() >= kMostFormer && !former_.count(router)) former_.erase(oldest(former_));
+    if (former_.size() >= kMaxFormer && !former_.count(router)) former_.erase(oldest(former_));
     former_[router] = std::move(at->second);
-    at->second = Held{identity, 0, {}, now};
+    at->second = StoredSummary{identity, 0, {}, now};
   } else if (number <= at->second.number) {
     return false;
   }
   at->second.number = number;
-  at->second.said = std::move(summary);
+  at->second.summary = std::move(summary);
   at->second.at = now;
   return true;
 }
 
-Json Witnesses::json(const Held& held, Micros now) {
-  return {{"age_us", now - held.at}, {"said", held.said}};
+Json SummaryReplication::json(const StoredSummary& stored, Micros now) {
+  return {{"age_us", now - stored.at}, {"said", stored.summary}};
 }
 
-Json Witnesses::held(Micros now) const {
+Json SummaryReplication::stored(Micros now) const {
   Json now_held = Json::object(), former = Json::object();
-  for (const auto& [name, held] : held_) now_held[name] = json(held, now);
+  for (const auto& [name, held] : current_) now_held[name] = json(held, now);
   for (const auto& [name, held] : former_) former[name] = json(held, now);
   return {{"now", now_held}, {"former", former}};
 }
--- a/src/core/audit/trail.cpp
+++ b/src/core/audit/trail.cpp
@@ -25,7 +25,7 @@
 
 /// A line as it stands, whether or not its sum is right.
 struct Line {
-  TrailPosition mark;
+  TrailPosition position;
   std::string_view summed, body;
 };
 
@@ -34,36 +34,36 @@
   if (text.size() < kSumLength + 4 || text[kSumLength] != ' ') return {};
   line.summed = text.substr(kSumLength + 1);
   std::size_t at = line.summed.find(' ');
-  if (at == line.summed.npos || !number(text.substr(0, kSumLength), line.mark.sum, 16) ||
-      !number(line.summed.substr(0, at), line.mark.number, 10) || line.mark.number == 0 ||
-      hex(line.mark.sum) != text.substr(0, kSumLength))
+  if (at == line.summed.npos || !number(text.substr(0, kSumLength), line.position.sum, 16) ||
+      !number(line.summed.substr(0, at), line.position.number, 10) || line.position.number == 0 ||
+      hex(line.position.sum) != text.substr(0, kSumLength))
     return {};
   line.body = line.summed.substr(at + 1);
   return line;
 }
 
-bool right(const Line& line, std::uint64_t before) {
-  return ledger::digest(line.summed, before) == line.mark.sum;
+bool sum_matches(const Line& line, std::uint64_t before) {
+  return ledger::digest(line.summed, before) == line.position.sum;
 }
 
 /// What a file's head says.
-struct Head {
+struct FileHeader {
   std::string router;
   std::uint64_t before = 0;
 };
 
-std::optional<Head> head(const Line& line) {
+std::optional<FileHeader> parse_header(const Line& line) {
   Json body = Json::parse(line.body, nullptr, false);
-  Head h;
+  FileHeader h;
   if (!body.is_object() || body.value("k", Json()) != "file" || !body["router"].is_string() ||
       !body["before"].is_string() || !number(body["before"].get_ref<std::string&>(), h.before, 16))
     return {};
   h.router = body["router"];
-  return right(line, h.before) ? std::optional(h) : std::nullopt;
+  return sum_matches(line, h.before) ? std::optional(h) : std::nullopt;
 }
 
 /// The next line of `text`, which loses it; nothing where it has no end.
-std::optional<std::string_view> cut(std::string_view& text) {
+std::optional<std::string_view> consume_line(std::string_view& text) {
   std::size_t end = text.find('\n');
   if (end == text.npos) return {};
   std::string_view line = text.substr(0, end);
@@ -79,98 +79,101 @@
   return kNames[static_cast<int>(kind)];
 }
 
-std::string text_of(const TrailPosition& mark) {
-  return std::to_string(mark.number) + ":" + hex(mark.sum);
+std::string format_position(const TrailPosition& position) {
+  return std::to_string(position.number) + ":" + hex(position.sum);
 }
 
 std::optional<TrailPosition> parse_position(std::string_view text) {
-  TrailPosition mark;
+  TrailPosition position;
   std::size_t at = text.find(':');
-  if (at == text.npos || !number(text.substr(0, at), mark.number, 10) ||
-      !number(text.substr(at + 1), mark.sum, 16) || mark.number == 0 || text != text_of(mark))
+  if (at == text.npos || !number(text.substr(0, at), position.number, 10) ||
+      !number(text.substr(at + 1), position.sum, 16) || position.number == 0 ||
+      text != format_position(position))
     return {};
-  return mark;
+  return position;
 }
 
-std::optional<Fault> compare_with_position(const Trail& trail, const TrailPosition& held) {
-  if (trail.last.number < held.number)
-    return Fault{Fault::Kind::kCut, trail.last.number + 1, held.number, {}};
-  auto at = std::lower_bound(trail.blocks.begin(), trail.blocks.end(), held.number,
+std::optional<Fault> compare_with_position(const Trail& trail, const TrailPosition& expected) {
+  if (trail.last.number < expected.number)
+    return Fault{Fault::Kind::kTruncated, trail.last.number + 1, expected.number, {}};
+  auto at = std::lower_bound(trail.blocks.begin(), trail.blocks.end(), expected.number,
                              [](const Block& b, std::uint64_t n) { return b.number < n; });
-  if (at == trail.blocks.end() || at->number != held.number || at->sum == held.sum) return {};
-  return Fault{Fault::Kind::kRewritten, held.number, trail.last.number, {}};
+  if (at == trail.blocks.end() || at->number != expected.number || at->sum == expected.sum)
+    return {};
+  return Fault{Fault::Kind::kRewritten, expected.number, trail.last.number, {}};
 }
 
-std::string line_of(TrailPosition& last, std::string_view body) {
+std::string append_block(TrailPosition& last, std::string_view body) {
   std::string summed = std::to_string(last.number + 1) + " " + std::string(body);
   last = {last.number + 1, ledger::digest(summed, last.sum)};
   return hex(last.sum) + " " + summed + "\n";
 }
 
-std::string head_of(const std::string& router, const TrailPosition& last, const std::string& why) {
+std::string header_body(const std::string& router, const TrailPosition& last,
+                        const std::string& why) {
   return Json({{"k", "file"}, {"router", router}, {"before", hex(last.sum)}, {"why", why}})
       .dump(-1, ' ', false, Json::error_handler_t::replace);
 }
 
-void Reader::fault(Fault::Kind kind, std::uint64_t from, std::uint64_t to) {
+void TrailReader::add_fault(Fault::Kind kind, std::uint64_t from, std::uint64_t to) {
   trail_.faults.push_back({kind, from, to, file_});
 }
 
-void Reader::file(const std::string& name, std::string_view text) {
+void TrailReader::add_file(const std::string& name, std::string_view text) {
   using Kind = Fault::Kind;
   file_ = name;
   TrailPosition& last = trail_.last;
-  auto first = cut(text);
+  auto first = consume_line(text);
   auto line = first ? parse(*first) : std::nullopt;
-  auto begin = line ? head(*line) : std::nullopt;
+  auto begin = line ? parse_header(*line) : std::nullopt;
   if (!begin) {
     // Its writer may have been ended at the first line; the next file tells what is missing.
-    fault(first ? Kind::kSpoilt : Kind::kTorn, last.number + 1, last.number + 1);
+    add_fault(first ? Kind::kCorrupt : Kind::kTorn, last.number + 1, last.number + 1);
     return;
   }
   bool begins = last.number == 0;
   if (begins) trail_.router = begin->router;
-  if (begin->router != trail_.router || line->mark.number <= last.number) {
-    fault(Kind::kForeign, line->mark.number, line->mark.number);
+  if (begin->router != trail_.router || line->position.number <= last.number) {
+    add_fault(Kind::kForeign, line->position.number, line->position.number);
     return;
   }
-  if (!begins && line->mark.number > last.number + 1)
-    fault(Kind::kMissing, last.number + 1, line->mark.number - 1);
+  if (!begins && line->position.number > last.number + 1)
+    add_fault(Kind::kMissing, last.number + 1, line->position.number - 1);
   else if (!begins && begin->before != last.sum)
-    fault(Kind::kForeign, line->mark.number, line->mark.number);
+    add_fault(Kind::kForeign, line->position.number, line->position.number);
   while (true) {
     Json body = Json::parse(line->body, nullptr, false);
-    last = line->mark;
+    last = line->position;
     trail_.blocks.push_back({last.number, last.sum, std::move(body)});
     // To the next line that is what was written. What a spoilt one says of itself is not believed,
     // but the sum that stands in it is what the line after it was chained to.
     std::uint64_t before = last.sum, bad = 0;
     for (line.reset(); !line;) {
-      auto next = cut(text);
+      auto next = consume_line(text);
       if (!next) {
-        if (bad) fault(Kind::kSpoilt, last.number + 1, last.number + bad);
-        if (!text.empty()) fault(Kind::kTorn, last.number + bad + 1, last.number + bad + 1);
+        if (bad) add_fault(Kind::kCorrupt, last.number + 1, last.number + bad);
+        if (!text.empty()) add_fault(Kind::kTorn, last.number + bad + 1, last.number + bad + 1);
         return;
       }
       auto read = parse(*next);
-      if (read && right(*read, before) && read->mark.number > last.number) {
+      if (read && sum_matches(*read, before) && read->position.number > last.number) {
         line = read;
       } else {
         ++bad;
-        before = read ? read->mark.sum : 0;
+        before = read ? read->position.sum : 0;
       }
     }
-    std::uint64_t between = line->mark.number - last.number - 1;
+    std::uint64_t between = line->position.number - last.number - 1;
     if (bad || between)
-      fault(between > bad ? Kind::kMissing : Kind::kSpoilt, last.number + 1,
-            std::max(last.number + 1, line->mark.number - 1));
+      add_fault(between > bad ? Kind::kMissing : Kind::kCorrupt, last.number + 1,
+                std::max(last.number + 1, line->position.number - 1));
   }
 }
 
-std::optional<TrailPosition> end_of(std::string_view text) {
-  Reader reader;
-  reader.file("", text);
-  Trail trail = reader.take();
+std::optional<TrailPosition> last_position_in(std::string_view text) {
+  TrailReader reader;
+  reader.add_file("", text);
+  Trail trail = reader.finish();
   return trail.blocks.empty() ? std::nullopt : std::optional(trail.last);
 }
 
--- a/src/core/audit/trail.hpp
+++ b/src/core/audit/trail.hpp
@@ -21,14 +21,15 @@
 };
 
 /// "NUMBER:SUM"
-std::string text_of(const TrailPosition& mark);
+std::string format_position(const TrailPosition& position);
 /// Nothing where it is none.
 std::optional<TrailPosition> parse_position(std::string_view text);
 
 /// The line of the next block, with its end; `last` becomes that block. `body` has no line end.
-std::string line_of(TrailPosition& last, std::string_view body);
+std::string append_block(TrailPosition& last, std::string_view body);
 /// The body of the first block of a file.
-std::string head_of(const std::string& router, const TrailPosition& last, const std::string& why);
+std::string header_body(const std::string& router, const TrailPosition& last,
+                        const std::string& why);
 
 struct Block {
   std::uint64_t number = 0, sum = 0;
@@ -38,13 +39,13 @@
 struct Fault {
   enum class Kind {
     kTorn,       ///< the end of a file that its writer did not come to finish
-    kSpoilt,     ///< a block that is not what was written
+    kCorrupt,    ///< a block that is not what was written
     kMissing,    ///< blocks that are not there
-    kCut,        ///< it ends before the block that others know of
+    kTruncated,  ///< it ends before the block that others know of
     kRewritten,  ///< that block is another one than they know of
     kForeign,    ///< a file of another router or another history
   };
-  Kind kind = Kind::kSpoilt;
+  Kind kind = Kind::kCorrupt;
   std::uint64_t from = 0, to = 0;  ///< blocks that are in doubt, the last with them
   std::string file;
 };
@@ -59,14 +60,14 @@
 };
 
 /// Puts files together that are given in the order of their names.
-class Reader {
+class TrailReader {
  public:
   /// A file without a head that can be read is a fault, and nothing of it is taken.
-  void file(const std::string& name, std::string_view text);
-  Trail take() { return std::move(trail_); }
+  void add_file(const std::string& name, std::string_view text);
+  Trail finish() { return std::move(trail_); }
 
  private:
-  void fault(Fault::Kind kind, std::uint64_t from, std::uint64_t to);
+  void add_fault(Fault::Kind kind, std::uint64_t from, std::uint64_t to);
 
   Trail trail_;
   std::string file_;
@@ -74,10 +75,10 @@
 
 /// Whether the trail bears out what others hold of it; `from` is the first block in doubt. A block
 /// that went with the oldest files, or is in doubt already, tells nothing.
-std::optional<Fault> compare_with_position(const Trail& trail, const TrailPosition& held);
+std::optional<Fault> compare_with_position(const Trail& trail, const TrailPosition& expected);
 
 /// The last whole block of a file that is still written, or was when its writer ended; none where
 /// there is no whole one.
-std::optional<TrailPosition> end_of(std::string_view text);
+std::optional<TrailPosition> last_position_in(std::string_view text);
 
 }  // namespace violetusher::core::audit
--- a/src/core/audit/versions.cpp
+++ b/src/core/audit/versions.cpp
@@ -7,13 +7,13 @@
 namespace violetusher::core::audit {
 namespace {
 
-std::string text_of(const Version& v) {
+std::string format_version(const Version& v) {
   return v.number ? std::to_string(v.number) + " of " + v.content : v.content;
 }
 
 /// What all should have: the greatest number where there are numbers, and of that, or without any,
 /// the content that most have.
-Version best(const std::vector<const Version*>& all) {
+Version expected_version(const std::vector<const Version*>& all) {
   std::uint64_t newest = 0;
   for (const Version* v : all) newest = std::max(newest, v->number);
   std::map<std::string, std::size_t> contents;
@@ -28,26 +28,27 @@
 }
 
 /// What a straggler should have. Which of two texts a roll-out has for it, it alone could say.
-std::string should_of(const Version& has, const Version& best) {
-  if (!has.wanted) return text_of(best);
-  return has.number >= best.number ? *has.wanted : std::to_string(best.number);
+std::string expected_of(const Version& has, const Version& expected_version) {
+  if (!has.assigned) return format_version(expected_version);
+  return has.number >= expected_version.number ? *has.assigned
+                                               : std::to_string(expected_version.number);
 }
 
 /// Why a router that answers has something else than it should; nothing where it has not.
-std::optional<Cause> cause_of(const RouterReport& s, const Version& v, const Version& should,
-                              Micros may_be_old) {
-  bool cut_off = s.age < 0 || s.age > may_be_old;
-  if (v.wanted) {
+std::optional<Cause> cause_of(const RouterReport& s, const Version& v, const Version& expected,
+                              Micros max_age) {
+  bool partitioned = s.age < 0 || s.age > max_age;
+  if (v.assigned) {
     // It knows what it is to have, unless what it knows is old.
-    if (*v.wanted == v.content && v.number >= should.number) return {};
-    if (cut_off) return Cause::kCutOff;
-    if (v.number < should.number) return Cause::kBehind;
+    if (*v.assigned == v.content && v.number >= expected.number) return {};
+    if (partitioned) return Cause::kPartitioned;
+    if (v.number < expected.number) return Cause::kBehind;
     if (v.refused) return Cause::kRefused;
-    return s.disk_failed ? Cause::kDisk : Cause::kOnItsWay;
+    return s.disk_failed ? Cause::kDiskFailed : Cause::kInProgress;
   }
-  if (v.number == should.number && v.content == should.content) return {};
-  if (v.number == should.number) return v.number ? Cause::kClash : Cause::kDiffers;
-  return cut_off ? Cause::kCutOff : s.disk_failed ? Cause::kDisk : Cause::kBehind;
+  if (v.number == expected.number && v.content == expected.content) return {};
+  if (v.number == expected.number) return v.number ? Cause::kConflict : Cause::kDiffers;
+  return partitioned ? Cause::kPartitioned : s.disk_failed ? Cause::kDiskFailed : Cause::kBehind;
 }
 
 }  // namespace
@@ -58,36 +59,37 @@
   return kNames[static_cast<int>(cause)];
 }
 
-Audit audit(const std::vector<RouterReport>& fleet, Micros may_be_old) {
+Audit audit(const std::vector<RouterReport>& fleet, Micros max_age) {
   Audit out;
   out.routers = fleet.size();
   std::map<std::string, std::vector<const Version*>> by_kind;
   for (const RouterReport& s : fleet)
     for (const auto& [kind, v] : s.versions) by_kind[kind].push_back(&v);
-  std::map<std::string, Version> should;
+  std::map<std::string, Version> expected;
   for (const auto& [kind, all] : by_kind) {
-    should[kind] = best(all);
+    expected[kind] = expected_version(all);
     std::map<std::string, std::size_t> counts;
-    for (const Version* v : all) ++counts[text_of(*v)];
-    Spread spread{kind, {counts.begin(), counts.end()}};
-    std::stable_sort(spread.versions.begin(), spread.versions.end(),
+    for (const Version* v : all) ++counts[format_version(*v)];
+    VersionDistribution distribution{kind, {counts.begin(), counts.end()}};
+    std::stable_sort(distribution.versions.begin(), distribution.versions.end(),
                      [](const auto& a, const auto& b) { return a.second > b.second; });
-    out.distributions.push_back(std::move(spread));
+    out.distributions.push_back(std::move(distribution));
   }
   std::set<std::string> late;
   for (const RouterReport& s : fleet) {
     if (!s.error.empty()) {
-      out.stragglers.push_back({s.router, "", "", "", Cause::kSilent, s.error});
+      out.stragglers.push_back({s.router, "", "", "", Cause::kUnreachable, s.error});
       late.insert(s.router);
       continue;
     }
-    for (const auto& [kind, best] : should) {
+    for (const auto& [kind, expected_version] : expected) {
       auto has = s.versions.find(kind);
       if (has == s.versions.end()) continue;  // it has none of that kind, by its operator file
-      auto cause = cause_of(s, has->second, best, may_be_old);
+      auto cause = cause_of(s, has->second, expected_version, max_age);
       if (!cause) continue;
       const Version& v = has->second;
-      out.stragglers.push_back({s.router, kind, text_of(v), should_of(v, best), *cause, v.why});
+      out.stragglers.push_back(
+          {s.router, kind, format_version(v), expected_of(v, expected_version), *cause, v.why});
       late.insert(s.router);
     }
   }
--- a/src/core/audit/versions.hpp
+++ b/src/core/audit/versions.hpp
@@ -15,11 +15,12 @@
 /// One version that a router acts on. Where there is no number, what most have counts as the one
 /// that all should have.
 struct Version {
-  std::uint64_t number = 0;           ///< only grows; 0: there is none
-  std::string content;                ///< a digest or a name; equal where the content is
-  std::optional<std::string> wanted;  ///< the content that this router is to have, where it is told
-  std::string why;                    ///< of its own: why it has another
-  bool refused = false;               ///< it can't use what is wanted
+  std::uint64_t number = 0;  ///< only grows; 0: there is none
+  std::string content;       ///< a digest or a name; equal where the content is
+  std::optional<std::string>
+      assigned;          ///< the content that this router is to have, where it is told
+  std::string why;       ///< of its own: why it has another
+  bool refused = false;  ///< it can't use what is wanted
 };
 
 struct RouterReport {
@@ -31,14 +32,14 @@
 };
 
 enum class Cause {
-  kSilent,    ///< down, or not to be reached
-  kCutOff,    ///< it answers, and has heard nothing of the fleet for too long
-  kDisk,      ///< its disk takes nothing
-  kRefused,   ///< it can't use the version
-  kOnItsWay,  ///< it knows of the version and is coming to it
-  kBehind,    ///< it has an older one, and nothing says why
-  kDiffers,   ///< no number tells which is newer; most have another
-  kClash,     ///< the number is the one of most, the content is not
+  kUnreachable,  ///< down, or not to be reached
+  kPartitioned,  ///< it answers, and has heard nothing of the fleet for too long
+  kDiskFailed,   ///< its disk takes nothing
+  kRefused,      ///< it can't use the version
+  kInProgress,   ///< it knows of the version and is coming to it
+  kBehind,       ///< it has an older one, and nothing says why
+  kDiffers,      ///< no number tells which is newer; most have another
+  kConflict,     ///< the number is the one of most, the content is not
 };
 std::string_view name_of(Cause cause);
 
@@ -50,18 +51,18 @@
 };
 
 /// Of one kind: how many act on what, the most frequent first.
-struct Spread {
+struct VersionDistribution {
   std::string kind;
   std::vector<std::pair<std::string, std::size_t>> versions;
 };
 
 struct Audit {
   std::size_t routers = 0, current = 0;
-  std::vector<Spread> distributions;
+  std::vector<VersionDistribution> distributions;
   std::vector<Straggler> stragglers;  ///< the gravest causes first, then by router
 };
 
-/// `may_be_old`: how old a router's knowledge of the fleet may be.
-Audit audit(const std::vector<RouterReport>& fleet, Micros may_be_old);
+/// `max_age`: how old a router's knowledge of the fleet may be.
+Audit audit(const std::vector<RouterReport>& fleet, Micros max_age);
 
 }  // namespace violetusher::core::audit
--- a/src/core/ledger/bytes.cpp
+++ b/src/core/ledger/bytes.cpp
@@ -9,13 +9,17 @@
 namespace {
 
 /// Builds the value as the library's own reader does, but not past a depth: the reader recurses.
-class Bounded : public nlohmann::detail::json_sax_dom_parser<Json> {
+class DepthLimitedParser : public nlohmann::detail::json_sax_dom_parser<Json> {
   using Base = nlohmann::detail::json_sax_dom_parser<Json>;
 
  public:
-  explicit Bounded(Json& into) : Base(into, false) {}
-  bool start_object(std::size_t size) { return ++depth_ <= kMostDepth && Base::start_object(size); }
-  bool start_array(std::size_t size) { return ++depth_ <= kMostDepth && Base::start_array(size); }
+  explicit DepthLimitedParser(Json& into) : Base(into, false) {}
+  bool start_object(std::size_t size) {
+    return ++depth_ <= kMaxNestingDepth && Base::start_object(size);
+  }
+  bool start_array(std::size_t size) {
+    return ++depth_ <= kMaxNestingDepth && Base::start_array(size);
+  }
   bool end_object() { return --depth_, Base::end_object(); }
   bool end_array() { return --depth_, Base::end_array(); }
 
@@ -32,10 +36,10 @@
 }
 
 std::optional<Json> from_bytes(std::string_view bytes) {
-  if (bytes.empty() || bytes.size() > kMostBytes) return {};
+  if (bytes.empty() || bytes.size() > kMaxEncodedBytes) return {};
   Json value;
   try {
-    Bounded reader(value);
+    DepthLimitedParser reader(value);
     if (!Json::sax_parse(bytes.begin(), bytes.end(), &reader, Json::input_format_t::cbor))
       return {};
   } catch (const std::exception&) {
--- a/src/core/ledger/bytes.hpp
+++ b/src/core/ledger/bytes.hpp
@@ -12,8 +12,9 @@
 
 using Json = nlohmann::json;
 
-inline constexpr std::size_t kMostBytes = 8u << 20;  ///< of one value; a snapshot is the largest
-inline constexpr int kMostDepth = 12;
+inline constexpr std::size_t kMaxEncodedBytes = 8u
+                                                << 20;  ///< of one value; a snapshot is the largest
+inline constexpr int kMaxNestingDepth = 12;
 
 std::string to_bytes(const Json& value);
 /// Nothing where the bytes are no value, or one past the bounds.
--- a/src/core/ledger/reconfiguration.cpp
+++ b/src/core/ledger/reconfiguration.cpp
@@ -6,22 +6,23 @@
 namespace violetusher::core::ledger {
 namespace {
 
-std::size_t in_hall(const std::vector<Member>& members, const std::string& zone) {
+std::size_t voters_in_zone(const std::vector<Member>& members, const std::string& zone) {
   return static_cast<std::size_t>(
       std::count_if(members.begin(), members.end(),
-                    [&](const Member& m) { return m.votes && !m.gone && m.zone == zone; }));
+                    [&](const Member& m) { return m.votes && !m.unreachable && m.zone == zone; }));
 }
 
 /// Of those that could come, the one whose hall has the fewest; names break ties.
-const Candidate* best(const std::vector<Member>& members, const std::vector<Candidate>& from) {
+const Candidate* best_candidate(const std::vector<Member>& members,
+                                const std::vector<Candidate>& from) {
   const Candidate* found = nullptr;
   for (const Candidate& c : from) {
     if (std::any_of(members.begin(), members.end(), [&](const Member& m) {
-          return m.identity == c.identity || (m.name == c.name && !m.gone);
+          return m.identity == c.identity || (m.name == c.name && !m.unreachable);
         }))
       continue;
-    if (!found || std::make_pair(in_hall(members, c.zone), c.name) <
-                      std::make_pair(in_hall(members, found->zone), found->name))
+    if (!found || std::make_pair(voters_in_zone(members, c.zone), c.name) <
+                      std::make_pair(voters_in_zone(members, found->zone), found->name))
       found = &c;
   }
   return found;
@@ -29,21 +30,23 @@
 
 }  // namespace
 
-std::optional<Step> next_step(std::uint64_t self, std::size_t wanted,
-                              const std::vector<Member>& members,
-                              const std::vector<Candidate>& candidates,
-                              const std::optional<Move>& move) {
+std::optional<MembershipChange> next_change(std::uint64_t self, std::size_t target_voters,
+                                            const std::vector<Member>& members,
+                                            const std::vector<Candidate>& candidates,
+                                            const std::optional<Move>& move) {
   // Who comes under a new identity has lost the disk of the old one: that one never comes back, and
   // a vote that nobody can cast only makes a majority harder to have.
   for (const Member& m : members)
     if (m.identity != self && std::any_of(candidates.begin(), candidates.end(), [&](const auto& c) {
           return c.name == m.name && c.identity != m.identity;
         }))
-      return Step{Step::Kind::kRemove, m.identity, {}};
+      return MembershipChange{MembershipChange::Kind::kRemove, m.identity, {}};
   for (const Member& m : members)
-    if (!m.votes && m.gone) return Step{Step::Kind::kRemove, m.identity, {}};
+    if (!m.votes && m.unreachable)
+      return MembershipChange{MembershipChange::Kind::kRemove, m.identity, {}};
   for (const Member& m : members)
-    if (!m.votes && !m.gone) return Step{Step::Kind::kPromote, m.identity, {}};
+    if (!m.votes && !m.unreachable)
+      return MembershipChange{MembershipChange::Kind::kPromote, m.identity, {}};
 
   if (move) {
     auto named = [&](const std::string& name) {
@@ -53,37 +56,41 @@
     auto from = named(move->from), to = named(move->to);
     if (to == members.end() && from != members.end())
       for (const Candidate& c : candidates)
-        if (c.name == move->to) return Step{Step::Kind::kAdd, c.identity, c.name};
+        if (c.name == move->to)
+          return MembershipChange{MembershipChange::Kind::kAdd, c.identity, c.name};
     // The new one votes by now, so the old one is not missed.
     if (to != members.end() && from != members.end() && from->identity != self)
-      return Step{Step::Kind::kRemove, from->identity, {}};
+      return MembershipChange{MembershipChange::Kind::kRemove, from->identity, {}};
   }
-  std::size_t voting = 0, alive = 0;
-  for (const Member& m : members) voting += m.votes, alive += m.votes && !m.gone;
-  const Candidate* next = best(members, candidates);
-  if (alive < wanted && next) return Step{Step::Kind::kAdd, next->identity, next->name};
+  std::size_t voting = 0, reachable = 0;
+  for (const Member& m : members) voting += m.votes, reachable += m.votes && !m.unreachable;
+  const Candidate* next = best_candidate(members, candidates);
+  if (reachable < target_voters && next)
+    return MembershipChange{MembershipChange::Kind::kAdd, next->identity, next->name};
   // Those who are gone leave once enough others are there.
-  if (voting > wanted)
+  if (voting > target_voters)
     for (const Member& m : members)
-      if (m.votes && m.gone) return Step{Step::Kind::kRemove, m.identity, {}};
+      if (m.votes && m.unreachable)
+        return MembershipChange{MembershipChange::Kind::kRemove, m.identity, {}};
   // A hall that would take the majority with it gives one up, where another hall has room.
-  if (alive > wanted || (next && alive == wanted)) {
+  if (reachable > target_voters || (next && reachable == target_voters)) {
     const Member* crowded = nullptr;
     for (const Member& m : members)
-      if (m.votes && !m.gone && m.identity != self &&
-          (!crowded || in_hall(members, m.zone) > in_hall(members, crowded->zone)))
+      if (m.votes && !m.unreachable && m.identity != self &&
+          (!crowded || voters_in_zone(members, m.zone) > voters_in_zone(members, crowded->zone)))
         crowded = &m;
     if (!crowded) return {};
-    if (alive > wanted) return Step{Step::Kind::kRemove, crowded->identity, {}};
-    if (2 * in_hall(members, crowded->zone) > wanted &&
-        in_hall(members, next->zone) + 1 < in_hall(members, crowded->zone))
-      return Step{Step::Kind::kAdd, next->identity, next->name};
+    if (reachable > target_voters)
+      return MembershipChange{MembershipChange::Kind::kRemove, crowded->identity, {}};
+    if (2 * voters_in_zone(members, crowded->zone) > target_voters &&
+        voters_in_zone(members, next->zone) + 1 < voters_in_zone(members, crowded->zone))
+      return MembershipChange{MembershipChange::Kind::kAdd, next->identity, next->name};
   }
   return {};
 }
 
-std::string why_not(const Move& move, std::size_t wanted, const std::vector<Member>& members,
-                    const std::optional<Candidate>& to) {
+std::string move_error(const Move& move, std::size_t target_voters,
+                       const std::vector<Member>& members, const std::optional<Candidate>& to) {
   auto named = [&](const std::string& name) {
     return std::find_if(members.begin(), members.end(),
                         [&](const Member& m) { return m.name == name; });
@@ -99,8 +106,8 @@
   // Whoever leads then is none of both, if anybody else is there.
   auto self =
       std::find_if(after.begin(), after.end(), [&](const Member& m) { return m.name != move.to; });
-  if (next_step(self == after.end() ? to->identity : self->identity, wanted, after,
-                {{from->identity, from->name, from->zone}}))
+  if (next_change(self == after.end() ? to->identity : self->identity, target_voters, after,
+                  {{from->identity, from->name, from->zone}}))
     return "the group would undo it: hall '" + to->zone + "' would have too many keepers";
   return {};
 }
@@ -109,7 +116,8 @@
   std::size_t voting = 0, left = 0;
   for (const Member& m : members) {
     voting += m.votes;
-    left += m.votes && !m.gone && std::find(names.begin(), names.end(), m.name) == names.end();
+    left +=
+        m.votes && !m.unreachable && std::find(names.begin(), names.end(), m.name) == names.end();
   }
   return left >= voting / 2 + 1;
 }
--- a/src/core/ledger/reconfiguration.hpp
+++ b/src/core/ledger/reconfiguration.hpp
@@ -16,7 +16,7 @@
   std::uint64_t identity = 0;
   std::string name, zone;
   bool votes = false;
-  bool gone = false;  ///< not heard of for longer than the group puts up with
+  bool unreachable = false;  ///< not heard of for longer than the group puts up with
 };
 
 struct Candidate {
@@ -24,12 +24,12 @@
   std::string name, zone;
 };
 
-struct Step {
+struct MembershipChange {
   enum class Kind { kAdd, kPromote, kRemove };
   Kind kind = Kind::kAdd;
   std::uint64_t identity = 0;
   std::string name;  ///< of a kAdd
-  bool operator==(const Step&) const = default;
+  bool operator==(const MembershipChange&) const = default;
 };
 
 /// What operators ask for: one keeper's place goes to another router.
@@ -39,15 +39,15 @@
 
 /// `members` as the log has them, the leader `self` among them; `candidates` were heard of lately;
 /// `wanted` is how many are to vote. Nothing where all is well or nothing can be done.
-std::optional<Step> next_step(std::uint64_t self, std::size_t wanted,
-                              const std::vector<Member>& members,
-                              const std::vector<Candidate>& candidates,
-                              const std::optional<Move>& move = {});
+std::optional<MembershipChange> next_change(std::uint64_t self, std::size_t target_voters,
+                                            const std::vector<Member>& members,
+                                            const std::vector<Candidate>& candidates,
+                                            const std::optional<Move>& move = {});
 
 /// Why a move is none, or would be undone at once; empty where it is good. `to`: who would come, as
 /// heard of.
-std::string why_not(const Move& move, std::size_t wanted, const std::vector<Member>& members,
-                    const std::optional<Candidate>& to);
+std::string move_error(const Move& move, std::size_t target_voters,
+                       const std::vector<Member>& members, const std::optional<Candidate>& to);
 
 /// Whether the group still has a majority when these stop, of those that are not gone.
 bool may_stop(const std::vector<Member>& members, const std::vector<std::string>& names);
--- a/src/core/ledger/rejoin_check.cpp
+++ b/src/core/ledger/rejoin_check.cpp
@@ -18,34 +18,34 @@
   return {v[0], v[1], v[2]};
 }
 
-Probation::Probation(std::uint64_t self, const LogPosition& own, const Voters& own_voters,
-                     std::size_t wanted, std::size_t routers)
+RejoinCheck::RejoinCheck(std::uint64_t self, const LogPosition& own, const Voters& own_voters,
+                         std::size_t target_voters, std::size_t routers)
     : self_(self), own_(own), floor_(own) {
-  count(own_voters);
-  if (own_voters.identities.size() < wanted) routers_ = (routers + 1) / 2;
-  if (mutant(Mutant::kOldDiskTrusted)) needed_ = routers_ = 0;
+  set_voters(own_voters);
+  if (own_voters.identities.size() < target_voters) needed_routers_ = (routers + 1) / 2;
+  if (mutant(Mutant::kOldDiskTrusted)) needed_voters_ = needed_routers_ = 0;
 }
 
-void Probation::count(const Voters& voters) {
+void RejoinCheck::set_voters(const Voters& voters) {
   voters_ = voters;
   std::size_t n = voters.identities.size(), majority = n / 2 + 1;
   std::size_t others = n - voters.identities.count(self_);
-  needed_ = n == 0 ? 0 : std::min(n - majority + 1, others);
+  needed_voters_ = n == 0 ? 0 : std::min(n - majority + 1, others);
 }
 
-void Probation::heard(std::uint64_t from, const Answer& answer) {
-  if (own_.behind(answer.of_this_one)) old_ = true;
-  floor_.raise(answer.theirs);
+void RejoinCheck::add_answer(std::uint64_t from, const Answer& answer) {
+  if (own_.behind(answer.asker)) stale_ = true;
+  floor_.raise(answer.position);
   answered_.insert(from);
-  if (answer.voters.index > voters_.index) count(answer.voters);
+  if (answer.voters.index > voters_.index) set_voters(answer.voters);
 }
 
-Probation::Verdict Probation::verdict() const {
-  if (old_ && !mutant(Mutant::kOldDiskTrusted)) return Verdict::kOldDisk;
+RejoinCheck::Verdict RejoinCheck::verdict() const {
+  if (stale_ && !mutant(Mutant::kOldDiskTrusted)) return Verdict::kStaleDisk;
   auto voters = static_cast<std::size_t>(
       std::count_if(answered_.begin(), answered_.end(),
                     [this](std::uint64_t id) { return voters_.identities.count(id) > 0; }));
-  bool enough = voters >= needed_ && answered_.size() >= routers_;
+  bool enough = voters >= needed_voters_ && answered_.size() >= needed_routers_;
   return vouched_ || enough ? Verdict::kCleared : Verdict::kWait;
 }
 
--- a/src/core/ledger/rejoin_check.hpp
+++ b/src/core/ledger/rejoin_check.hpp
@@ -39,9 +39,9 @@
   static LogPosition parse(const Json& value);
 };
 
-class Probation {
+class RejoinCheck {
  public:
-  enum class Verdict { kWait, kCleared, kOldDisk };
+  enum class Verdict { kWait, kCleared, kStaleDisk };
 
   /// Who votes, by the entry of the log at `index`.
   struct Voters {
@@ -50,34 +50,34 @@
   };
   /// `own_voters`: by this disk's log, its own identity among them or not. `wanted`: voters of the
   /// whole group. `routers`: all others of the fleet.
-  Probation(std::uint64_t self, const LogPosition& own, const Voters& own_voters,
-            std::size_t wanted, std::size_t routers);
+  RejoinCheck(std::uint64_t self, const LogPosition& own, const Voters& own_voters,
+              std::size_t target_voters, std::size_t routers);
 
   struct Answer {
-    LogPosition theirs;       ///< how far it is; nothing of one that keeps nothing
-    LogPosition of_this_one;  ///< the furthest that it ever heard this one say it is
+    LogPosition position;  ///< how far it is; nothing of one that keeps nothing
+    LogPosition asker;     ///< the furthest that it ever heard this one say it is
     Voters voters;
   };
-  void heard(std::uint64_t from, const Answer& answer);
+  void add_answer(std::uint64_t from, const Answer& answer);
   /// The operators, or the time that they set, say that the disk is no old one.
   void vouch() { vouched_ = true; }
 
   Verdict verdict() const;
-  std::size_t needed() const { return std::max(needed_, routers_); }
+  std::size_t needed() const { return std::max(needed_voters_, needed_routers_); }
   std::size_t answered() const { return answered_.size(); }
   /// What the votes of this one must respect once it is cleared.
   const LogPosition& floor() const { return floor_; }
 
  private:
-  void count(const Voters& voters);
+  void set_voters(const Voters& voters);
 
   std::uint64_t self_;
   Voters voters_;
   std::set<std::uint64_t> answered_;
   LogPosition own_, floor_;
-  std::size_t needed_ = 0;   // of the voters
-  std::size_t routers_ = 0;  // of all
-  bool vouched_ = false, old_ = false;
+  std::size_t needed_voters_ = 0;   // of the voters
+  std::size_t needed_routers_ = 0;  // of all
+  bool vouched_ = false, stale_ = false;
 };
 
 }  // namespace violetusher::core::ledger
--- a/src/core/ledger/rollout.cpp
+++ b/src/core/ledger/rollout.cpp
@@ -11,7 +11,7 @@
 Json json_of(const Text& text) { return text ? binary(*text) : Json(); }
 
 /// Where a router stands in the order of one roll-out.
-std::uint64_t place(const Plan& plan, const std::string& name) {
+std::uint64_t selection_key(const Plan& plan, const std::string& name) {
   return digest(name, digest(std::to_string(plan.number)));
 }
 
@@ -45,7 +45,7 @@
   if ((*v)["t"].is_binary()) p.next = bytes_of((*v)["t"]);
   if ((*v)["l"].is_binary()) p.previous = bytes_of((*v)["l"]);
   for (const Text* t : {&p.next, &p.previous})
-    if (*t && (*t)->size() > kMostRolled) return {};
+    if (*t && (*t)->size() > kMaxTextBytes) return {};
   return p;
 }
 
@@ -54,8 +54,8 @@
     return {{},
             "roll-out " + std::to_string(now->number) + " is under way, at " +
                 std::to_string(now->share) + " per cent: widen it to 100 or take it back first"};
-  if (text.size() > kMostRolled)
-    return {{}, "a text of more than " + std::to_string(kMostRolled) + " bytes"};
+  if (text.size() > kMaxTextBytes)
+    return {{}, "a text of more than " + std::to_string(kMaxTextBytes) + " bytes"};
   if (share < 1 || share > 100) return {{}, "a share is 1 to 100 per cent"};
   Plan p{now ? now->number + 1 : 1, share, std::move(text), now ? now->next : Text(), 0};
   if (now && p.next == now->next) return {{}, "all routers act on this text already"};
@@ -76,15 +76,17 @@
   return {Plan{now->number + 1, 100, now->previous, now->previous, 0}, {}};
 }
 
-std::size_t part_of(unsigned share, std::size_t routers) { return (routers * share + 99) / 100; }
+std::size_t selected_count(unsigned share, std::size_t routers) {
+  return (routers * share + 99) / 100;
+}
 
 bool is_selected(const Plan& plan, const std::string& name, const std::vector<std::string>& names) {
   if (!plan.in_progress() || mutant(Mutant::kShareIgnored)) return true;
-  auto own = std::pair(place(plan, name), name);
+  auto own = std::pair(selection_key(plan, name), name);
   auto before = std::count_if(names.begin(), names.end(), [&](const std::string& other) {
-    return other != name && std::pair(place(plan, other), other) < own;
+    return other != name && std::pair(selection_key(plan, other), other) < own;
   });
-  return static_cast<std::size_t>(before) < part_of(plan.share, names.size());
+  return static_cast<std::size_t>(before) < selected_count(plan.share, names.size());
 }
 
 const Text& target_text(const Plan& plan, const std::string& name,
@@ -92,11 +94,11 @@
   return is_selected(plan, name, names) ? plan.next : plan.previous;
 }
 
-void Adopter::set_current(std::string has) {
-  if (!mutant(Mutant::kFilesNotRead)) has_ = std::move(has);
+void Adopter::set_current(std::string current) {
+  if (!mutant(Mutant::kFilesNotRead)) current_ = std::move(current);
   refused_.clear();
   why_.clear();
-  wait_ = not_before_ = 0;
+  backoff_ = not_before_ = 0;
 }
 
 void Adopter::set_target(std::uint64_t version, const Text& text, Micros not_before) {
@@ -106,7 +108,7 @@
   // Another text is another matter.
   refused_.clear();
   why_.clear();
-  wait_ = 0;
+  backoff_ = 0;
   not_before_ = not_before;
 }
 
@@ -122,10 +124,10 @@
   bool still = job_->text == text_;
   job_.reset();
   if (end == End::kAdopted) {
-    has_ = of;
+    current_ = of;
     refused_.clear();
     why_.clear();
-    wait_ = not_before_ = 0;
+    backoff_ = not_before_ = 0;
     return;
   }
   if (!still) return;
@@ -134,15 +136,15 @@
     refused_ = of;
     return;
   }
-  wait_ = std::clamp(2 * wait_, kFirstWait, kMostWait);
+  backoff_ = std::clamp(2 * backoff_, kMinBackoff, kMaxBackoff);
   not_before_ =
-      now + wait_ + static_cast<Micros>(random % static_cast<std::uint64_t>(wait_ / 2 + 1));
+      now + backoff_ + static_cast<Micros>(random % static_cast<std::uint64_t>(backoff_ / 2 + 1));
 }
 
 Json Adopter::report() const {
   Json out{{"version", version_},
-           {"has", has_},
-           {"wants", version_ ? label(text_) : has_},
+           {"has", current_},
+           {"wants", version_ ? label(text_) : current_},
            {"there", at_target()}};
   if (!at_target()) out["why"] = why_.empty() ? "on its way" : why_;
   if (!refused_.empty()) out["refused"] = refused_;
--- a/src/core/ledger/rollout.hpp
+++ b/src/core/ledger/rollout.hpp
@@ -15,7 +15,7 @@
 
 using Micros = std::int64_t;
 
-inline constexpr std::size_t kMostRolled = 31u << 10;  ///< bytes of one text; a plan holds two
+inline constexpr std::size_t kMaxTextBytes = 31u << 10;  ///< bytes of one text; a plan holds two
 
 /// Nothing: what each router's own file held before any roll-out.
 using Text = std::optional<std::string>;
@@ -49,7 +49,7 @@
 Proposal roll_back(const std::optional<Plan>& now);
 
 /// How many of so many routers are meant by a share.
-std::size_t part_of(unsigned share, std::size_t routers);
+std::size_t selected_count(unsigned share, std::size_t routers);
 /// Whether `name` is among the first of all `names`, its own among them. Whoever is stays so as the
 /// share grows; which ones they are differs from roll-out to roll-out.
 bool is_selected(const Plan& plan, const std::string& name, const std::vector<std::string>& names);
@@ -61,7 +61,7 @@
 /// tries again, ever more seldom.
 class Adopter {
  public:
-  static constexpr Micros kFirstWait = 1'000'000, kMostWait = 60'000'000;
+  static constexpr Micros kMinBackoff = 1'000'000, kMaxBackoff = 60'000'000;
 
   struct Job {
     std::uint64_t version = 0;  ///< of the ledger's value
@@ -75,7 +75,7 @@
 
   /// `has`: the label of what the router acts on, as its files say. To be called at the start, and
   /// again whenever somebody may have changed them.
-  void set_current(std::string has);
+  void set_current(std::string current);
   /// As the newest view has it; a view never goes back. Another text than before is not begun with
   /// before `not_before`, so that not all routers take it over in one moment.
   void set_target(std::uint64_t version, const Text& text, Micros not_before);
@@ -84,18 +84,18 @@
   /// `random` spreads the tries of many routers: what fills one disk often fills many.
   void finish(End end, const std::string& why, Micros now, std::uint64_t random);
 
-  const std::string& has() const { return has_; }
+  const std::string& current() const { return current_; }
   bool busy() const { return job_.has_value(); }
-  bool at_target() const { return version_ == 0 || has_ == label(text_); }
+  bool at_target() const { return version_ == 0 || current_ == label(text_); }
   /// For people and tools: version, what is wanted and had, and why it is not there.
   Json report() const;
 
  private:
-  std::string has_ = "own", refused_, why_;
+  std::string current_ = "own", refused_, why_;
   std::uint64_t version_ = 0;
   Text text_;
   std::optional<Job> job_;
-  Micros wait_ = 0, not_before_ = 0;
+  Micros backoff_ = 0, not_before_ = 0;
 };
 
 }  // namespace violetusher::core::ledger
--- a/src/core/ledger/state.cpp
+++ b/src/core/ledger/state.cpp
@@ -44,8 +44,8 @@
   c.caller = ledger::number(v, "c");
   c.number = ledger::number(v, "i");
   c.known = ledger::number(v, "w");
-  if (c.name.empty() || c.name.size() > kMostName || c.text.size() > kMostText ||
-      c.by.size() > kMostName || c.expect < kAny)
+  if (c.name.empty() || c.name.size() > kMaxNameBytes || c.text.size() > kMaxValueBytes ||
+      c.by.size() > kMaxNameBytes || c.expect < kAny)
     return {};
   if (c.kind != Kind::kGet && (c.caller == 0 || c.number == 0)) return {};
   return c;
@@ -91,10 +91,10 @@
   }
   // It may have called before and been answered, and the answer be forgotten since: then nobody can
   // say whether this one is a repeat.
-  if (known == callers_.end() && forgotten_ > call->known)
+  if (known == callers_.end() && evicted_at_ > call->known)
     return {Outcome::Status::kForgotten, 0, {}};
   Outcome outcome = change(*call);
-  remember(*call, outcome);
+  record_outcome(*call, outcome);
   return outcome;
 }
 
@@ -109,21 +109,21 @@
     text_bytes_ -= before;
     return {};
   }
-  if ((it == values_.end() && values_.size() >= kMostValues) ||
-      text_bytes_ - before + call.text.size() > kMostTextAll)
+  if ((it == values_.end() && values_.size() >= kMaxValues) ||
+      text_bytes_ - before + call.text.size() > kMaxTotalBytes)
     return {Outcome::Status::kFull, version, {}};
   text_bytes_ += call.text.size() - before;
   values_[call.name] = {call.text, call.by, position_.at};
   return {Outcome::Status::kDone, position_.at, {}};
 }
 
-void State::remember(const Call& call, const Outcome& outcome) {
+void State::record_outcome(const Call& call, const Outcome& outcome) {
   callers_[call.caller] = {call.number, position_.at, outcome};
-  if (callers_.size() <= kMostCallers) return;
-  auto oldest =
-      std::min_element(callers_.begin(), callers_.end(),
-                       [](const auto& a, const auto& b) { return a.second.used < b.second.used; });
-  forgotten_ = std::max(forgotten_, oldest->second.used);
+  if (callers_.size() <= kMaxCallers) return;
+  auto oldest = std::min_element(
+      callers_.begin(), callers_.end(),
+      [](const auto& a, const auto& b) { return a.second.last_call_at < b.second.last_call_at; });
+  evicted_at_ = std::max(evicted_at_, oldest->second.last_call_at);
   callers_.erase(oldest);
 }
 
@@ -131,8 +131,9 @@
   Json values = Json::array(), callers = Json::array();
   for (const auto& [name, v] : values_)
     values.push_back({binary(name), binary(v.text), binary(v.by), v.version});
-  for (const auto& [id, c] : callers_) callers.push_back({id, c.number, c.used, c.outcome.json()});
-  return to_bytes({{"p", position_.json()}, {"v", values}, {"c", callers}, {"f", forgotten_}});
+  for (const auto& [id, c] : callers_)
+    callers.push_back({id, c.number, c.last_call_at, c.outcome.json()});
+  return to_bytes({{"p", position_.json()}, {"v", values}, {"c", callers}, {"f", evicted_at_}});
 }
 
 bool State::restore(std::string_view bytes) {
@@ -141,7 +142,7 @@
   State next;
   try {
     next.position_ = Position::parse(v->at("p"));
-    next.forgotten_ = v->at("f").get<std::uint64_t>();
+    next.evicted_at_ = v->at("f").get<std::uint64_t>();
     for (const Json& one : v->at("v")) {
       Value value{bytes_of(one.at(1)), bytes_of(one.at(2)), one.at(3).get<std::uint64_t>()};
       next.text_bytes_ += value.text.size();
@@ -156,8 +157,8 @@
   } catch (const Json::exception&) {
     return false;
   }
-  if (next.values_.size() > kMostValues || next.text_bytes_ > kMostTextAll ||
-      next.callers_.size() > kMostCallers)
+  if (next.values_.size() > kMaxValues || next.text_bytes_ > kMaxTotalBytes ||
+      next.callers_.size() > kMaxCallers)
     return false;
   *this = std::move(next);
   return true;
--- a/src/core/ledger/state.hpp
+++ b/src/core/ledger/state.hpp
@@ -15,11 +15,11 @@
 
 namespace violetusher::core::ledger {
 
-inline constexpr std::size_t kMostName = 260;          ///< bytes
-inline constexpr std::size_t kMostText = 64u << 10;    ///< bytes of one value
-inline constexpr std::size_t kMostValues = 8192;       ///< of all names
-inline constexpr std::size_t kMostTextAll = 1u << 20;  ///< bytes of all values
-inline constexpr std::size_t kMostCallers = 1024;      ///< whose last answer is kept
+inline constexpr std::size_t kMaxNameBytes = 260;         ///< bytes
+inline constexpr std::size_t kMaxValueBytes = 64u << 10;  ///< bytes of one value
+inline constexpr std::size_t kMaxValues = 8192;           ///< of all names
+inline constexpr std::size_t kMaxTotalBytes = 1u << 20;   ///< bytes of all values
+inline constexpr std::size_t kMaxCallers = 1024;          ///< whose last answer is kept
 
 struct Call {
   enum class Kind { kGet, kPut, kErase };
@@ -83,18 +83,18 @@
 
  private:
   struct Caller {
-    std::uint64_t number = 0, used = 0;  // `used`: position of its last call
+    std::uint64_t number = 0, last_call_at = 0;  // `used`: position of its last call
     Outcome outcome;
     bool operator==(const Caller&) const = default;
   };
   Outcome change(const Call& call);
-  void remember(const Call& call, const Outcome& outcome);
+  void record_outcome(const Call& call, const Outcome& outcome);
 
   Position position_;
   std::map<std::string, Value, std::less<>> values_;
   std::size_t text_bytes_ = 0;
   std::map<std::uint64_t, Caller> callers_;
-  std::uint64_t forgotten_ = 0;  // the newest `used` of a caller whose answer is no longer kept
+  std::uint64_t evicted_at_ = 0;  // the newest `used` of a caller whose answer is no longer kept
 };
 
 }  // namespace violetusher::core::ledger
--- a/src/core/ledger/view.hpp
+++ b/src/core/ledger/view.hpp
@@ -13,9 +13,9 @@
 
 class View {
  public:
-  static constexpr std::size_t kMostKept = 512;            ///< calls kept for those behind
-  static constexpr std::size_t kMostKeptBytes = 1u << 20;  ///< of them
-  static constexpr std::size_t kMostGiven = 64;            ///< calls in one answer
+  static constexpr std::size_t kMaxRetainedCalls = 512;       ///< calls kept for those behind
+  static constexpr std::size_t kMaxRetainedBytes = 1u << 20;  ///< of them
+  static constexpr std::size_t kMaxCallsPerUpdate = 64;       ///< calls in one answer
 
   const State& state() const { return state_; }
   const Position& position() const { return state_.position(); }
@@ -23,7 +23,7 @@
   /// Of a keeper: the next call, or all of the state, as its own log has it.
   Outcome apply(std::string_view entry);
   bool reset(std::string_view snapshot);
-  void raise(std::uint64_t epoch);
+  void raise_epoch(std::uint64_t epoch);
 
   /// What somebody at `from` needs to come up to here: calls after it, or else the whole state.
   struct Update {
@@ -35,22 +35,22 @@
   };
   Update since(const Position& from) const;
 
-  enum class Taken { kNothing, kNewer, kOlder, kUnfit };
+  enum class UpdateResult { kUnchanged, kApplied, kStale, kMismatch };
   /// Of a follower: takes what another gives. kNothing: it said nothing new. kOlder: the other is
   /// behind this one. kUnfit: it doesn't start where this one stands, or its digest tells of
   /// another history; the whole state is to be asked for. But for kNewer nothing is changed.
-  Taken take(const Update& update);
+  UpdateResult apply_update(const Update& update);
 
  private:
-  void keep(Position before, std::string_view entry);
+  void retain(Position before, std::string_view entry);
 
-  struct Kept {
+  struct RetainedCall {
     Position before;
     std::string entry;
   };
   State state_;
-  std::deque<Kept> kept_;
-  std::size_t kept_bytes_ = 0;
+  std::deque<RetainedCall> retained_;
+  std::size_t retained_bytes_ = 0;
 };
 
 }  // namespace violetusher::core::ledger
--- a/src/daemon/audit/trail_files.cpp
+++ b/src/daemon/audit/trail_files.cpp
@@ -21,39 +21,39 @@
 namespace fs = std::filesystem;
 using core::audit::Json;
 
-constexpr const char* kFront = "trail-";
-constexpr const char* kEnd = ".log";
+constexpr const char* kFilePrefix = "trail-";
+constexpr const char* kFileSuffix = ".log";
 
-Micros wall() {
+Micros wall_clock_now() {
   return std::chrono::duration_cast<std::chrono::microseconds>(
              std::chrono::system_clock::now().time_since_epoch())
       .count();
 }
 
-std::string why(const std::string& what) { return what + ": " + std::strerror(errno); }
+std::string errno_text(const std::string& what) { return what + ": " + std::strerror(errno); }
 
-struct Found {
+struct FoundFile {
   std::string path;
   std::uint64_t number = 0;  ///< of its first block, by its name
   std::int64_t size = 0;
-  fs::file_time_type changed;
+  fs::file_time_type modified;
 };
 
 /// In order. `error`: the folder could not be read, and what is returned is not all of it.
-std::vector<Found> files_in(const std::string& folder, std::error_code& error) {
-  std::vector<Found> all;
+std::vector<FoundFile> files_in(const std::string& folder, std::error_code& error) {
+  std::vector<FoundFile> all;
   error.clear();
   for (fs::directory_iterator at(folder, error), end; !error && at != end; at.increment(error)) {
     const auto& entry = *at;
     std::string name = entry.path().filename().string();
-    Found f{entry.path().string(), 0, 0, {}};
+    FoundFile f{entry.path().string(), 0, 0, {}};
     int used = 0;
     if (std::sscanf(name.c_str(), "trail-%20lu.log%n", &f.number, &used) != 1 ||
         used != static_cast<int>(name.size()))
       continue;
     std::error_code gone;  // by its writer, just now
     f.size = static_cast<std::int64_t>(entry.file_size(gone));
-    f.changed = entry.last_write_time(gone);
+    f.modified = entry.last_write_time(gone);
     if (gone) continue;
     all.push_back(std::move(f));
   }
@@ -61,7 +61,7 @@
   return all;
 }
 
-std::string text_of(const std::string& path) {
+std::string read_whole_file(const std::string& path) {
   std::ifstream in(path, std::ios::binary);
   std::ostringstream text;
   text << in.rdbuf();
@@ -77,28 +77,31 @@
 std::vector<std::string> trail_files(const std::string& folder) {
   std::vector<std::string> out;
   std::error_code error;
-  for (const Found& f : files_in(folder, error)) out.push_back(f.path);
+  for (const FoundFile& f : files_in(folder, error)) out.push_back(f.path);
   return out;
 }
 
 core::audit::Trail read_trail(const std::string& folder) {
-  core::audit::Reader reader;
+  core::audit::TrailReader reader;
   for (const std::string& path : trail_files(folder)) {
     std::string text;
     try {
-      text = text_of(path);
+      text = read_whole_file(path);
     } catch (const fs::filesystem_error&) {
       std::error_code error;
       if (fs::exists(path, error)) throw;
       continue;  // its writer has just let it go, as the oldest
     }
-    reader.file(path, text);
+    reader.add_file(path, text);
   }
-  return reader.take();
+  return reader.finish();
 }
 
-TrailFiles::TrailFiles(const TrailSettings& settings, std::function<void(const std::string&)> note)
-    : settings_(settings), note_(std::move(note)), thread_([this] { run(); }) {}
+TrailFiles::TrailFiles(const TrailSettings& settings,
+                       std::function<void(const std::string&)> on_disk_state_change)
+    : settings_(settings),
+      on_disk_state_change_(std::move(on_disk_state_change)),
+      thread_([this] { run(); }) {}
 
 TrailFiles::~TrailFiles() {
   {
@@ -111,8 +114,8 @@
 
 void TrailFiles::write(std::string body) {
   std::lock_guard guard(mutex_);
-  if (queued_ + body.size() > kMostPending) {
-    Micros now = wall();
+  if (queued_ + body.size() > kMaxPendingBytes) {
+    Micros now = wall_clock_now();
     if (lost_++ == 0) lost_from_ = now;
     lost_to_ = now;
     gap_ = true;
@@ -125,18 +128,18 @@
 
 std::string TrailFiles::last_position() {
   std::lock_guard guard(mutex_);
-  return on_disk_.number ? core::audit::text_of(on_disk_) : std::string();
+  return on_disk_.number ? core::audit::format_position(on_disk_) : std::string();
 }
 
 bool TrailFiles::consume_gap() {
   std::lock_guard guard(mutex_);
   // Once there is room again: what is said while there is none is lost as well.
-  return queued_ < kMostPending / 2 && std::exchange(gap_, false);
+  return queued_ < kMaxPendingBytes / 2 && std::exchange(gap_, false);
 }
 
 void TrailFiles::run() {
   std::deque<std::string> batch;
-  Micros pause = kRetry;
+  Micros backoff = kMinBackoff;
   std::unique_lock lock(mutex_);
   while (true) {
     wake_.wait(lock, [this] { return stopping_ || !queue_.empty(); });
@@ -147,13 +150,14 @@
                             {"from", lost_from_},
                             {"to", lost_to_},
                             {"blocks", lost},
-                            {"why", failing_.empty() ? "more than the disk takes" : failing_}})
+                            {"why", error_.empty() ? "more than the disk takes" : error_}})
                           .dump(-1, ' ', false, Json::error_handler_t::replace));
     lock.unlock();
-    std::string wrong = put(batch);
-    if (wrong != failing_) {
-      failing_ = wrong;
-      note_(wrong.empty() ? "the trail is written again" : "the trail is not written: " + wrong);
+    std::string wrong = write_batch(batch);
+    if (wrong != error_) {
+      error_ = wrong;
+      on_disk_state_change_(wrong.empty() ? "the trail is written again"
+                                          : "the trail is not written: " + wrong);
     }
     lock.lock();
     if (wrong.empty()) on_disk_ = last_;
@@ -164,47 +168,47 @@
     queued_ = 0;
     for (const std::string& body : queue_) queued_ += body.size();
     if (stopping_ && (queue_.empty() || !wrong.empty())) return;
-    pause = wrong.empty() ? kRetry : std::min(2 * pause, kMostRetry);
+    backoff = wrong.empty() ? kMinBackoff : std::min(2 * backoff, kMaxBackoff);
     if (!wrong.empty())
-      wake_.wait_for(lock, std::chrono::microseconds(pause / 2), [this] { return stopping_; });
+      wake_.wait_for(lock, std::chrono::microseconds(backoff / 2), [this] { return stopping_; });
   }
 }
 
-std::string TrailFiles::put(std::deque<std::string>& batch) {
+std::string TrailFiles::write_batch(std::deque<std::string>& batch) {
   std::string wrong;
   while (!batch.empty() && wrong.empty()) {
     auto bytes = static_cast<std::int64_t>(batch.front().size());
-    wrong = open(bytes);
+    wrong = ensure_open(bytes);
     if (!wrong.empty()) break;
     core::audit::TrailPosition next = last_;
-    wrong = append(line_of(next, batch.front()));
+    wrong = append(append_block(next, batch.front()));
     if (!wrong.empty()) break;
     last_ = next;
     batch.pop_front();
   }
   // A machine that loses its power loses the last batch at most; a killed process nothing of it.
   if (wrong.empty() && file_ && ::fdatasync(file_.get()) != 0) {
-    wrong = why(settings_.folder);
+    wrong = errno_text(settings_.folder);
     file_ = net::Fd();  // which of its pages are there nobody knows; what follows is elsewhere
   }
   return wrong;
 }
 
 /// What can't be read is what can't be gone on from: the trail then begins anew, past all names.
-std::string TrailFiles::find_end() {
+std::string TrailFiles::find_last_position() {
   last_ = {};
   std::error_code error;
   auto all = files_in(settings_.folder, error);
   if (error) return settings_.folder + ": " + error.message();
   for (auto at = all.rbegin(); at != all.rend(); ++at) {
-    std::optional<core::audit::TrailPosition> mark;
+    std::optional<core::audit::TrailPosition> position;
     try {
-      mark = core::audit::end_of(text_of(at->path));
+      position = core::audit::last_position_in(read_whole_file(at->path));
     } catch (const fs::filesystem_error& e) {
       return e.what();
     }
-    if (!mark) continue;
-    last_ = *mark;
+    if (!position) continue;
+    last_ = *position;
     break;
   }
   // Names only grow, so that a file that holds nothing whole is not written over.
@@ -213,38 +217,38 @@
 }
 
 /// Makes sure that there is a file with room for another block.
-std::string TrailFiles::open(std::int64_t bytes) {
-  std::int64_t most = std::min(settings_.size / kFiles, kMostFile);
-  if (file_ && written_ + bytes < most) return "";
+std::string TrailFiles::ensure_open(std::int64_t bytes) {
+  std::int64_t file_limit = std::min(settings_.max_bytes / kFileCount, kMaxFileBytes);
+  if (file_ && written_ + bytes < file_limit) return "";
   file_ = net::Fd();
   std::error_code error;
   fs::create_directories(settings_.folder, error);
   if (!lock_) {
     net::Fd lock(::open((settings_.folder + "/lock").c_str(), O_RDWR | O_CREAT | O_CLOEXEC, 0644));
-    if (!lock) return why(settings_.folder + "/lock");
+    if (!lock) return errno_text(settings_.folder + "/lock");
     // The process before this one may still be ending; its blocks come first.
     if (::flock(lock.get(), LOCK_EX | LOCK_NB) != 0)
       return settings_.folder + ": another process writes there";
     lock_ = std::move(lock);
   }
-  if (!known_) {
-    std::string wrong = find_end();
+  if (!last_known_) {
+    std::string wrong = find_last_position();
     if (!wrong.empty()) return wrong;
-    known_ = true;
+    last_known_ = true;
   }
-  make_room();
+  delete_old_files();
   core::audit::TrailPosition next = last_;
-  std::string line = line_of(next, head_of(settings_.router, last_,
-                                           !started_          ? "start"
-                                           : failing_.empty() ? "size"
-                                                              : failing_));
+  std::string line = append_block(next, header_body(settings_.router, last_,
+                                                    !file_started_   ? "start"
+                                                    : error_.empty() ? "size"
+                                                                     : error_));
   char name[64];
-  std::snprintf(name, sizeof name, "/%s%020lu%s", kFront, next.number, kEnd);
+  std::snprintf(name, sizeof name, "/%s%020lu%s", kFilePrefix, next.number, kFileSuffix);
   net::Fd file(::open((settings_.folder + name).c_str(),
                       O_WRONLY | O_CREAT | O_EXCL | O_APPEND | O_CLOEXEC, 0644));
   if (!file) {
     if (errno == EEXIST) ++last_.number;  // somebody else's: one past it at the next try
-    return why(settings_.folder + name);
+    return errno_text(settings_.folder + name);
   }
   file_ = std::move(file);
   written_ = 0;
@@ -255,7 +259,7 @@
     return wrong;
   }
   last_ = next;
-  if (std::exchange(started_, true)) {
+  if (std::exchange(file_started_, true)) {
     std::lock_guard guard(mutex_);
     gap_ = true;  // files are read alone too: each says all near its beginning
   }
@@ -267,7 +271,7 @@
     ssize_t put = ::write(file_.get(), line.data() + at, line.size() - at);
     if (put < 0 && errno == EINTR) continue;
     if (put <= 0) {
-      std::string wrong = why(settings_.folder);
+      std::string wrong = errno_text(settings_.folder);
       // The line is begun anew once there is room; where its part can't be taken back, in another
       // file.
       if (at > 0 && ::ftruncate(file_.get(), written_) != 0) file_ = net::Fd();
@@ -280,15 +284,16 @@
 }
 
 /// The oldest go until there is room for another whole file.
-void TrailFiles::make_room() {
+void TrailFiles::delete_old_files() {
   std::error_code unread;
   auto all = files_in(settings_.folder, unread);
   if (unread) return;  // at the next file
-  std::int64_t most = std::min(settings_.size / kFiles, kMostFile), sum = most;
-  for (const Found& f : all) sum += f.size;
-  auto old = fs::file_time_type::clock::now() - std::chrono::microseconds(settings_.keep);
-  for (const Found& f : all) {
-    if (sum <= settings_.size && f.changed > old) break;
+  std::int64_t file_limit = std::min(settings_.max_bytes / kFileCount, kMaxFileBytes),
+               sum = file_limit;
+  for (const FoundFile& f : all) sum += f.size;
+  auto old = fs::file_time_type::clock::now() - std::chrono::microseconds(settings_.retention);
+  for (const FoundFile& f : all) {
+    if (sum <= settings_.max_bytes && f.modified > old) break;
     std::error_code error;
     fs::remove(f.path, error);
     sum -= f.size;
--- a/src/daemon/audit/trail_files.hpp
+++ b/src/daemon/audit/trail_files.hpp
@@ -22,8 +22,8 @@
 
 struct TrailSettings {
   std::string folder, router;
-  std::int64_t size = 64 << 20;  ///< bytes of all files together
-  Micros keep = 7 * 86400ll * 1'000'000;
+  std::int64_t max_bytes = 64 << 20;  ///< bytes of all files together
+  Micros retention = 7 * 86400ll * 1'000'000;
 };
 
 /// The files of a trail, in order.
@@ -34,14 +34,15 @@
 class TrailFiles {
  public:
   /// Of what waits for the disk, in bytes; what comes beyond is lost, and counted.
-  static constexpr std::size_t kMostPending = 1u << 20;
-  static constexpr int kFiles = 8;                     ///< that `size` is spread over
-  static constexpr std::int64_t kMostFile = 16 << 20;  ///< bytes
-  static constexpr Micros kRetry = 1'000'000;          ///< after a failure, then doubled
-  static constexpr Micros kMostRetry = 16'000'000;     ///< up to half of this
+  static constexpr std::size_t kMaxPendingBytes = 1u << 20;
+  static constexpr int kFileCount = 8;                     ///< that `size` is spread over
+  static constexpr std::int64_t kMaxFileBytes = 16 << 20;  ///< bytes
+  static constexpr Micros kMinBackoff = 1'000'000;         ///< after a failure, then doubled
+  static constexpr Micros kMaxBackoff = 16'000'000;        ///< up to half of this
 
   /// `note` is called from the writer's thread when the disk fails and when it takes blocks again.
-  TrailFiles(const TrailSettings& settings, std::function<void(const std::string&)> note);
+  TrailFiles(const TrailSettings& settings,
+             std::function<void(const std::string&)> on_disk_state_change);
   /// Writes what waits, once.
   ~TrailFiles();
   TrailFiles(const TrailFiles&) = delete;
@@ -57,21 +58,21 @@
  private:
   void run();
   /// Writes from the front of `batch` what the disk takes. Why not all; empty where it took all.
-  std::string put(std::deque<std::string>& batch);
-  std::string open(std::int64_t bytes);
+  std::string write_batch(std::deque<std::string>& batch);
+  std::string ensure_open(std::int64_t bytes);
   std::string append(const std::string& line);
-  std::string find_end();
-  void make_room();
+  std::string find_last_position();
+  void delete_old_files();
 
   TrailSettings settings_;
-  std::function<void(const std::string&)> note_;
+  std::function<void(const std::string&)> on_disk_state_change_;
   // Of the writer's thread.
   net::Fd lock_, file_;
   core::audit::TrailPosition last_;
-  std::int64_t written_ = 0;  // to the file
-  bool known_ = false;        // where the trail ended before
-  bool started_ = false;      // this process has begun a file
-  std::string failing_;
+  std::int64_t written_ = 0;   // to the file
+  bool last_known_ = false;    // where the trail ended before
+  bool file_started_ = false;  // this process has begun a file
+  std::string error_;
   // Shared.
   std::mutex mutex_;
   std::condition_variable wake_;
--- a/src/daemon/ledger/node.cpp
+++ b/src/daemon/ledger/node.cpp
@@ -15,19 +15,22 @@
 using core::ledger::to_bytes;
 
 constexpr Micros kMs = 1000, kSecond = 1'000'000;
-constexpr Micros kFrozen = 300 * kMs;  // without a tick for so long: a tick comes before anything
-constexpr Micros kAskEvery = 200 * kMs, kFollowEvery = 400 * kMs, kHelloEvery = kSecond;
-constexpr Micros kHealEvery = 300 * kMs, kTryEvery = 250 * kMs, kReopen = kSecond;
-constexpr Micros kParentTime = 1500 * kMs;  // without a word from it another one is followed
-constexpr Micros kStale = 4 * kSecond;  // of a view in quiet: a hop costs kFollowEvery and a half
-constexpr Micros kFollowerTime = 3 * kSecond, kHelloTime = 4 * kSecond;
-constexpr Micros kSilent = 1500 * kMs;
-constexpr Micros kQuiet = 2 * kSecond;  // without a leader for so long it is asked for
-constexpr Micros kSlowDisk = 100 * kMs, kGiveWayEvery = 10 * kSecond;
-constexpr Micros kMoveTime = 20 * kSecond;
-constexpr std::uint64_t kNearly = 64;  // entries behind
-constexpr std::size_t kAskMore = 8;
-constexpr std::size_t kMostKnown = 2048, kMostHellos = 1024, kMostNames = 8;
+constexpr Micros kMaxTickGap =
+    300 * kMs;  // without a tick for so long: a tick comes before anything
+constexpr Micros kAskInterval = 200 * kMs, kFollowInterval = 400 * kMs, kHelloInterval = kSecond;
+constexpr Micros kReconfigureInterval = 300 * kMs, kCallRetryInterval = 250 * kMs,
+                 kReopenDelay = kSecond;
+constexpr Micros kParentTimeout = 1500 * kMs;  // without a word from it another one is followed
+constexpr Micros kMaxViewAge =
+    4 * kSecond;  // of a view in quiet: a hop costs kFollowInterval and a half
+constexpr Micros kFollowerTimeout = 3 * kSecond, kHelloTimeout = 4 * kSecond;
+constexpr Micros kSilenceTimeout = 1500 * kMs;
+constexpr Micros kLeaderTimeout = 2 * kSecond;  // without a leader for so long it is asked for
+constexpr Micros kSlowCommit = 100 * kMs, kSlowDiskTransferInterval = 10 * kSecond;
+constexpr Micros kMoveTimeout = 20 * kSecond;
+constexpr std::uint64_t kMaxLagEntries = 64;  // entries behind
+constexpr std::size_t kExtraAskTargets = 8;
+constexpr std::size_t kMaxKnown = 2048, kMaxHellos = 1024, kMaxNames = 8;
 
 std::uint64_t number(const Json& v, const char* key) {
   auto it = v.find(key);
@@ -46,14 +49,14 @@
 
 }  // namespace
 
-Node::Node(Storage& storage, const NodeSettings& settings, Environment& outside)
+Node::Node(Storage& storage, const NodeSettings& settings, Environment& env)
     : storage_(storage),
       settings_(settings),
-      outside_(outside),
-      witnesses_(settings.name, settings.zone, settings.peers, settings.witnesses),
-      caller_(outside.random() | 1),
-      next_id_(outside.random() | 1) {
-  last_tick_ = outside_.now();
+      env_(env),
+      summaries_(settings.name, settings.zone, settings.peers, settings.summary_holders),
+      caller_(env.random() | 1),
+      next_id_(env.random() | 1) {
+  last_tick_ = env_.now();
   open();
 }
 
@@ -67,57 +70,58 @@
   LoadResult loaded = storage_.load(image, error);
   open_ = loaded == LoadResult::kOk;
   if (loaded == LoadResult::kUnreadable) {
-    reopen_ = outside_.now() + kReopen;
-    outside_.log_event("ledger-disk-failed",
-                       "the ledger's files can't be read: " + error + "; tried again");
+    reopen_at_ = env_.now() + kReopenDelay;
+    env_.log_event("ledger-disk-failed",
+                   "the ledger's files can't be read: " + error + "; tried again");
     return;
   }
   if (!open_) {
-    outside_.log_event("ledger-disk-spoilt", "the ledger's files can't be trusted: " + error +
-                                                 "; they are put aside, their identity goes");
-    return begin_anew("spoilt");
+    env_.log_event("ledger-disk-spoilt", "the ledger's files can't be trusted: " + error +
+                                             "; they are put aside, their identity goes");
+    return start_with_new_identity("spoilt");
   }
-  std::string print = storage_.fingerprint();
-  if (print.empty()) {  // it could not be asked for, which says nothing of the files
+  std::string fingerprint = storage_.fingerprint();
+  if (fingerprint.empty()) {  // it could not be asked for, which says nothing of the files
     open_ = false;
-    reopen_ = outside_.now() + kReopen;
-    outside_.log_event("ledger-disk-failed", "the ledger's files can't be looked at; tried again");
+    reopen_at_ = env_.now() + kReopenDelay;
+    env_.log_event("ledger-disk-failed", "the ledger's files can't be looked at; tried again");
     return;
   }
-  if (image.meta.identity != 0 && image.meta.fingerprint != print &&
+  if (image.meta.identity != 0 && image.meta.fingerprint != fingerprint &&
       !mutant(Mutant::kOldDiskTrusted)) {
-    outside_.log_event("ledger-disk-put-back",
-                       "the ledger's files are a copy that was put back; their identity goes");
-    return begin_anew("put back");
+    env_.log_event("ledger-disk-put-back",
+                   "the ledger's files are a copy that was put back; their identity goes");
+    return start_with_new_identity("put back");
   }
   meta_ = image.meta;
-  if (meta_.identity == 0) meta_.identity = outside_.random() | 1;
-  meta_.fingerprint = print;
+  if (meta_.identity == 0) meta_.identity = env_.random() | 1;
+  meta_.fingerprint = fingerprint;
   ++meta_.boot;
-  open_ = keep_meta();
+  open_ = commit_meta();
   if (!open_) {
-    reopen_ = outside_.now() + kReopen;
-    outside_.log_event("ledger-disk-failed", "the ledger's files can't be written; tried again");
+    reopen_at_ = env_.now() + kReopenDelay;
+    env_.log_event("ledger-disk-failed", "the ledger's files can't be written; tried again");
     return;
   }
   image.meta = meta_;
   if (!image.view.empty() && !mutant(Mutant::kViewForgotten)) {
-    View kept;
-    if (kept.reset(image.view) && view_.position().before(kept.position())) view_ = std::move(kept);
+    View stored;
+    if (stored.reset(image.view) && view_.position().before(stored.position()))
+      view_ = std::move(stored);
   }
-  first_known_ = view_.position().at;
-  if (view_.position().at > 0) outside_.on_view(view_);
-  if (meta_.keeper) open_keeper(std::move(image));
+  position_at_start_ = view_.position().at;
+  if (view_.position().at > 0) env_.on_view(view_);
+  if (meta_.voter) open_voter(std::move(image));
 }
 
-void Node::begin_anew(const std::string& why) {
-  drop_keeper();
+void Node::start_with_new_identity(const std::string& why) {
+  close_voter();
   Meta before = meta_;
   if (!storage_.quarantine()) {
     // It must not go on as who it was, and can't be anyone else.
     open_ = false;
-    reopen_ = outside_.now() + 5 * kSecond;
-    outside_.log_event("ledger-disk-failed", "the ledger's files can't be put aside; tried again");
+    reopen_at_ = env_.now() + 5 * kSecond;
+    env_.log_event("ledger-disk-failed", "the ledger's files can't be put aside; tried again");
     return;
   }
   Image image;
@@ -126,36 +130,36 @@
   meta_ = Meta();
   meta_.group = before.group;
   meta_.epoch = before.epoch;
-  meta_.identity = outside_.random() | 1;
+  meta_.identity = env_.random() | 1;
   meta_.boot = 1;
   meta_.fingerprint = storage_.fingerprint();
   if (mutant(Mutant::kIdentityOutlivesDisk) && before.identity) meta_.identity = before.identity;
-  std::vector<Op> more;
+  std::vector<Op> extra_ops;
   // What it has shown it goes on showing, with its disk as it was a moment ago.
-  if (view_.position().at > 0) more.push_back(Op::view(view_.state().snapshot()));
-  open_ = open_ && !meta_.fingerprint.empty() && keep_meta(std::move(more));
-  if (!open_) reopen_ = outside_.now() + kReopen;
-  outside_.log_event("ledger-new-identity", "ledger: begins anew (" + why + ")");
+  if (view_.position().at > 0) extra_ops.push_back(Op::view(view_.state().snapshot()));
+  open_ = open_ && !meta_.fingerprint.empty() && commit_meta(std::move(extra_ops));
+  if (!open_) reopen_at_ = env_.now() + kReopenDelay;
+  env_.log_event("ledger-new-identity", "ledger: begins anew (" + why + ")");
 }
 
-bool Node::keep_meta(std::vector<Op> more) {
-  more.push_back(Op::of(meta_));
-  return storage_.commit(more);
+bool Node::commit_meta(std::vector<Op> extra_ops) {
+  extra_ops.push_back(Op::of(meta_));
+  return storage_.commit(extra_ops);
 }
 
-void Node::open_keeper(Image&& image) {
+void Node::open_voter(Image&& image) {
   RaftPort::Environment raft;
-  raft.now = [this] { return outside_.now(); };
-  raft.random = [this] { return outside_.random(); };
+  raft.now = [this] { return env_.now(); };
+  raft.random = [this] { return env_.random(); };
   raft.send = [this](std::uint64_t to, const std::string& address, Json&& message) {
     send(name_in(address), "raft", message, to);
   };
-  keeper_ = std::make_unique<Voter>(storage_, std::move(image), settings_.name, settings_.timing,
-                                    settings_.voters, settings_.peers.size(), std::move(raft));
+  voter_ = std::make_unique<Voter>(storage_, std::move(image), settings_.name, settings_.timing,
+                                   settings_.voters, settings_.peers.size(), std::move(raft));
 }
 
-void Node::drop_keeper() {
-  keeper_.reset();
+void Node::close_voter() {
+  voter_.reset();
   hellos_.clear();
   leading_since_ = 0;
 }
@@ -163,29 +167,29 @@
 // ---- frames ----
 
 std::string Node::frame(const std::string& kind, const Json& body, std::uint64_t to) {
-  return to_bytes({{"v", settings_.version},
-                   {"f", settings_.fleet},
-                   {"g", meta_.group},
-                   {"e", meta_.epoch},
-                   {"n", settings_.name},
-                   {"i", meta_.identity},
-                   {"b", meta_.boot},
-                   {"r", to},
-                   {"s", static_cast<std::uint64_t>(std::max<Micros>(storage_.mean(), 0))},
-                   {"m", (keeper_ ? keeper_->log_position() : LogPosition()).json()},
-                   {"k", kind},
-                   {"d", body}});
+  return to_bytes(
+      {{"v", settings_.version},
+       {"f", settings_.fleet},
+       {"g", meta_.group},
+       {"e", meta_.epoch},
+       {"n", settings_.name},
+       {"i", meta_.identity},
+       {"b", meta_.boot},
+       {"r", to},
+       {"s", static_cast<std::uint64_t>(std::max<Micros>(storage_.mean_commit_us(), 0))},
+       {"m", (voter_ ? voter_->log_position() : LogPosition()).json()},
+       {"k", kind},
+       {"d", body}});
 }
 
 void Node::send(const std::string& name, const std::string& kind, const Json& body,
                 std::uint64_t to) {
-  if (name != settings_.name && settings_.peers.count(name))
-    outside_.send(name, frame(kind, body, to));
+  if (name != settings_.name && settings_.peers.count(name)) env_.send(name, frame(kind, body, to));
 }
 
-void Node::answer(const Frame& to, const std::string& kind, const Json& body) {
+void Node::reply_to(const Frame& to, const std::string& kind, const Json& body) {
   if (to.name.empty())
-    outside_.reply(to.link, frame(kind, body));
+    env_.reply(to.link, frame(kind, body));
   else
     send(to.name, kind, body);
 }
@@ -206,7 +210,7 @@
           link,
           {},
           {}};
-  if (v->contains("m")) f.mark = LogPosition::parse((*v)["m"]);
+  if (v->contains("m")) f.position = LogPosition::parse((*v)["m"]);
   if (v->contains("d")) f.body = std::move((*v)["d"]);
   if (!f.body.is_object() && f.kind != "raft") return {};
   return f;
@@ -224,33 +228,33 @@
   if (f.group != meta_.group) return false;
   if (f.epoch < meta_.epoch) {
     // It does not know yet that the group was rescued.
-    if (f.kind != "hint") answer(f, "hint", {{"leader", leader()}});
+    if (f.kind != "hint") reply_to(f, "hint", {{"leader", leader()}});
     return false;
   }
   if (f.epoch > meta_.epoch) {
-    outside_.log_event("ledger-epoch", "the ledger's epoch is now " + std::to_string(f.epoch));
+    env_.log_event("ledger-epoch", "the ledger's epoch is now " + std::to_string(f.epoch));
     meta_.epoch = f.epoch;
-    if (meta_.keeper)
-      begin_anew("the group was rescued without this one");
+    if (meta_.voter)
+      start_with_new_identity("the group was rescued without this one");
     else
-      keep_meta();
+      commit_meta();
   }
-  Known& known = known_[f.identity];
+  KnownPeer& known = known_peers_[f.identity];
   if (f.boot < known.boot) return false;  // said before its last start
   known.boot = f.boot;
-  known.heard = outside_.now();
-  known.disk = static_cast<Micros>(f.disk);
-  known.mark.raise(f.mark);
-  if (known_.size() > kMostKnown)
-    known_.erase(std::min_element(known_.begin(), known_.end(), [](const auto& a, const auto& b) {
-      return a.second.heard < b.second.heard;
-    }));
+  known.last_heard = env_.now();
+  known.commit_us = static_cast<Micros>(f.commit_us);
+  known.position.raise(f.position);
+  if (known_peers_.size() > kMaxKnown)
+    known_peers_.erase(std::min_element(
+        known_peers_.begin(), known_peers_.end(),
+        [](const auto& a, const auto& b) { return a.second.last_heard < b.second.last_heard; }));
   return true;
 }
 
 void Node::on_frame(const std::string& bytes, std::uint64_t link) {
   // Whoever was frozen finds out first how long: a leader that no longer is one, a view's age.
-  if (outside_.now() - last_tick_ > kFrozen) tick();
+  if (env_.now() - last_tick_ > kMaxTickGap) tick();
   auto f = read(bytes, link);
   if (!f || (!open_ && f->kind != "status")) return;
   if (f->name.empty()) {
@@ -261,7 +265,7 @@
   if (meta_.group == 0 && f->group != 0 && f->kind != "ask") {
     meta_.group = f->group;
     meta_.epoch = f->epoch;
-    if (!keep_meta()) return;
+    if (!commit_meta()) return;
   }
   if (f->kind == "raft") return on_raft(*f);
   if (f->kind == "ask") return on_ask(*f);
@@ -272,151 +276,152 @@
   if (f->kind == "follow") return on_follow(*f);
   if (f->kind == "feed") return on_feed(*f);
   if (f->kind == "summary") return on_summary(*f);
-  if (f->kind == "summary-held") return witnesses_.held_by(f->name);
+  if (f->kind == "summary-held") return summaries_.acknowledge(f->name);
   if (f->kind == "hint") {
     leader_ = text(f->body, "leader");
     for (auto& [id, p] : pending_)
-      if (p.target == f->name) p.next = std::min(p.next, outside_.now() + 20 * kMs);
+      if (p.target == f->name) p.next_attempt = std::min(p.next_attempt, env_.now() + 20 * kMs);
   }
 }
 
 void Node::on_raft(const Frame& f) {
   if (f.to != meta_.identity) return;
-  if (!keeper_) {
-    if (!settings_.may_vote || meta_.keeper) return;
-    meta_.keeper = true;
-    if (!keep_meta()) {
-      meta_.keeper = false;
+  if (!voter_) {
+    if (!settings_.may_vote || meta_.voter) return;
+    meta_.voter = true;
+    if (!commit_meta()) {
+      meta_.voter = false;
       return;
     }
     Image image;
     image.meta = meta_;
-    outside_.log_event("ledger-keeps", settings_.name + " is made a keeper");
-    open_keeper(std::move(image));
-    keeper_->vouch();  // its identity is new, and has promised nothing
+    env_.log_event("ledger-keeps", settings_.name + " is made a keeper");
+    open_voter(std::move(image));
+    voter_->vouch();  // its identity is new, and has promised nothing
   }
-  keeper_->receive(f.identity, raft_address(f.name, f.identity), f.body);
-  take_view();
+  voter_->receive(f.identity, raft_address(f.name, f.identity), f.body);
+  update_view_from_log();
 }
 
 /// Somebody wants to know whether its disk is an old one.
 void Node::on_ask(const Frame& f) {
   Json voters = Json::array();
   std::uint64_t index = 0;
-  if (keeper_) {
-    auto known = keeper_->voters();
+  if (voter_) {
+    auto known = voter_->voters();
     index = known.index;
     for (std::uint64_t id : known.identities) voters.push_back(id);
   }
-  answer(f, "mark",
-         {{"own", (keeper_ ? keeper_->log_position() : LogPosition()).json()},
-          {"yours", known_[f.identity].mark.json()},
-          {"at", index},
-          {"voters", voters},
-          {"leader", leader()}});
+  reply_to(f, "mark",
+           {{"own", (voter_ ? voter_->log_position() : LogPosition()).json()},
+            {"yours", known_peers_[f.identity].position.json()},
+            {"at", index},
+            {"voters", voters},
+            {"leader", leader()}});
 }
 
 void Node::on_mark(const Frame& f) {
-  if (!keeper_ || !f.body.contains("own") || !f.body.contains("yours")) return;
-  core::ledger::Probation::Answer a{LogPosition::parse(f.body["own"]),
-                                    LogPosition::parse(f.body["yours"]),
-                                    {number(f.body, "at"), {}}};
+  if (!voter_ || !f.body.contains("own") || !f.body.contains("yours")) return;
+  core::ledger::RejoinCheck::Answer a{LogPosition::parse(f.body["own"]),
+                                      LogPosition::parse(f.body["yours"]),
+                                      {number(f.body, "at"), {}}};
   if (f.body.contains("voters") && f.body["voters"].is_array())
     for (const Json& id : f.body["voters"])
       if (id.is_number_unsigned()) a.voters.identities.insert(id.get<std::uint64_t>());
   if (leader_.empty()) leader_ = text(f.body, "leader");
-  keeper_->heard(f.identity, a);
+  voter_->add_answer(f.identity, a);
 }
 
 void Node::on_hello(const Frame& f) {
-  if (!keeper_ || !keeper_->is_leader()) return answer(f, "hint", {{"leader", leader()}});
-  auto members = keeper_->members();
+  if (!voter_ || !voter_->is_leader()) return reply_to(f, "hint", {{"leader", leader()}});
+  auto members = voter_->members();
   bool member = std::any_of(members.begin(), members.end(),
                             [&](const RaftMember& m) { return m.identity == f.identity; });
   if (member) return;
   // Who kept once and was removed comes again as who it is: its disk is all there, and nobody else
   // may take an identity away, since a leader that knows less could still add it.
-  if (hellos_.size() >= kMostHellos && !hellos_.count(f.name)) return;
+  if (hellos_.size() >= kMaxHellos && !hellos_.count(f.name)) return;
   Hello& hello = hellos_[f.name];
   if (hello.candidate.identity != f.identity) hello = {};
-  hello.candidate = {f.identity, f.name, hall_of(f.name)};
-  hello.heard = outside_.now();
-  if (hello.first == 0) hello.first = hello.heard;
+  hello.candidate = {f.identity, f.name, zone_of(f.name)};
+  hello.last_heard = env_.now();
+  if (hello.first_heard == 0) hello.first_heard = hello.last_heard;
 }
 
 void Node::on_call(const Frame& f) {
   auto call = f.body.contains("call") ? Call::parse(f.body["call"]) : std::nullopt;
   std::uint64_t id = number(f.body, "id");
   if (!call) return;
-  if (!keeper_ || (!keeper_->is_leader() && !mutant(Mutant::kReadsOwnState)))
-    return answer(f, "hint", {{"leader", leader()}});
+  if (!voter_ || (!voter_->is_leader() && !mutant(Mutant::kReadsOwnState)))
+    return reply_to(f, "hint", {{"leader", leader()}});
   std::string name = f.name;
-  keeper_->submit(*call, [this, name, id](std::optional<Outcome> outcome) {
+  voter_->submit(*call, [this, name, id](std::optional<Outcome> outcome) {
     if (outcome)
       send(name, "answer",
-           {{"id", id}, {"outcome", outcome->json()}, {"at", keeper_->view().position().at}});
+           {{"id", id}, {"outcome", outcome->json()}, {"at", voter_->view().position().at}});
   });
-  take_view();
+  update_view_from_log();
 }
 
 void Node::on_answer(const Frame& f) {
   auto outcome = f.body.contains("outcome") ? Outcome::parse(f.body["outcome"]) : std::nullopt;
-  if (outcome) settle(number(f.body, "id"), *outcome, number(f.body, "at"));
+  if (outcome) set_outcome(number(f.body, "id"), *outcome, number(f.body, "at"));
 }
 
 // ---- those without a name: operators' tools ----
 
-Json Node::found() {
+Json Node::create_group() {
   if (meta_.group != 0)
     return {{"error", "there is a group already, of epoch " + std::to_string(meta_.epoch)}};
-  meta_.group = outside_.random() | 1;
+  meta_.group = env_.random() | 1;
   meta_.epoch = 1;
-  meta_.keeper = true;
+  meta_.voter = true;
   auto alone =
       write_members({{meta_.identity, raft_address(settings_.name, meta_.identity), RAFT_VOTER}});
-  if (!keep_meta({Op::count(Op::Kind::kTerm, 1), Op::append({1, 1, RAFT_CHANGE, alone})})) {
+  if (!commit_meta({Op::with_number(Op::Kind::kTerm, 1), Op::append({1, 1, RAFT_CHANGE, alone})})) {
     meta_.group = meta_.epoch = 0;
-    meta_.keeper = false;
+    meta_.voter = false;
     return {{"error", "the disk took nothing"}};
   }
   Image image;
   std::string error;
   if (storage_.load(image, error) != LoadResult::kOk) return {{"error", error}};
-  open_keeper(std::move(image));
-  keeper_->vouch();
+  open_voter(std::move(image));
+  voter_->vouch();
   return {{"group", meta_.group}};
 }
 
 void Node::on_client(const Frame& f) {
   std::uint64_t link = f.link, id = number(f.body, "id");
-  if (f.kind == "status") return answer(f, "status", status());
-  if (f.kind == "found") return answer(f, "found", found());
+  if (f.kind == "status") return reply_to(f, "status", status());
+  if (f.kind == "found") return reply_to(f, "found", create_group());
   if (f.kind == "vouch") {
-    if (keeper_) keeper_->vouch();
-    return answer(f, "vouch", status());
+    if (voter_) voter_->vouch();
+    return reply_to(f, "vouch", status());
   }
   if (f.kind == "may-stop") {
     std::vector<std::string> names;
     if (f.body.contains("names") && f.body["names"].is_array())
       for (const Json& n : f.body["names"])
         if (n.is_string()) names.push_back(n);
-    if (!keeper_ || !keeper_->is_leader()) return answer(f, "hint", {{"leader", leader()}});
-    return answer(f, "may-stop", {{"may", core::ledger::may_stop(members(), names)}});
+    if (!voter_ || !voter_->is_leader()) return reply_to(f, "hint", {{"leader", leader()}});
+    return reply_to(f, "may-stop", {{"may", core::ledger::may_stop(members(), names)}});
   }
-  if (f.kind == "move") return answer(f, "move", move(f.body));
+  if (f.kind == "move") return reply_to(f, "move", move(f.body));
   if (f.kind == "view") {
     // What this router acts on, which may be old; it says how old.
     Json values = Json::object();
     for (const auto& [name, v] : view_.state().values())
       values[name] = {{"text", v.text}, {"version", v.version}, {"by", v.by}};
-    return answer(f, "view", {{"at", view_.position().json()}, {"age", age()}, {"values", values}});
+    return reply_to(f, "view",
+                    {{"at", view_.position().json()}, {"age", age()}, {"values", values}});
   }
   if (f.kind != "call" || !f.body.contains("call")) return;
   auto call = Call::parse(f.body["call"]);
-  if (!call || pending_.size() >= kMostCalls)
-    return answer(f, "failure", {{"id", id}, {"why", call ? "too many calls" : "bad call"}});
+  if (!call || pending_.size() >= kMaxCalls)
+    return reply_to(f, "failure", {{"id", id}, {"why", call ? "too many calls" : "bad call"}});
   std::uint64_t own = next_id_++;
-  Micros now = outside_.now();
+  Micros now = env_.now();
   pending_[own] = {*call,
                    [this, link, id](std::optional<Outcome> outcome, const std::string& why) {
                      Json body{{"id", id}};
@@ -424,29 +429,29 @@
                        body["outcome"] = outcome->json();
                      else
                        body["why"] = why;
-                     outside_.reply(link, frame(outcome ? "answer" : "failure", body));
+                     env_.reply(link, frame(outcome ? "answer" : "failure", body));
                    },
-                   now + kCallTime,
+                   now + kCallTimeout,
                    now,
                    {},
                    {},
                    0};
-  push_calls();
+  process_calls();
 }
 
 Json Node::status() {
   Json members = Json::array();
-  if (keeper_)
-    for (const RaftMember& m : keeper_->members())
+  if (voter_)
+    for (const RaftMember& m : voter_->members())
       members.push_back({{"name", name_in(m.address)},
                          {"identity", std::to_string(m.identity)},
-                         {"hall", hall_of(name_in(m.address))},
+                         {"hall", zone_of(name_in(m.address))},
                          {"votes", m.role == RAFT_VOTER}});
   std::string stage = "follows";
   if (!open_) stage = "disk-failed";
-  if (keeper_) {
+  if (voter_) {
     constexpr const char* kStages[] = {"asks", "keeps", "old-disk", "disk-failed", "opens-again"};
-    stage = keeper_->is_leader() ? "leads" : kStages[static_cast<int>(keeper_->stage())];
+    stage = voter_->is_leader() ? "leads" : kStages[static_cast<int>(voter_->stage())];
   }
   Json out{{"name", settings_.name},
            {"hall", settings_.zone},
@@ -459,58 +464,59 @@
            {"at", view_.position().at},
            {"digest", std::to_string(view_.position().digest)},
            {"age_us", age()},
-           {"disk_us", storage_.mean()},
+           {"disk_us", storage_.mean_commit_us()},
            {"members", members},
            {"followers", followers_.size()}};
-  out.update(told_);
-  if (settings_.witnesses > 0) out["witness"] = witnesses_.held(outside_.now());
-  if (keeper_) {
-    const LogPosition& m = keeper_->log_position();
+  out.update(extra_status_);
+  if (settings_.summary_holders > 0) out["witness"] = summaries_.stored(env_.now());
+  if (voter_) {
+    const LogPosition& m = voter_->log_position();
     out["log"] = {{"term", m.term}, {"last", m.last_index}};
-    if (keeper_->stage() == Voter::Stage::kAsking)
-      out["asks"] = {{"answered", keeper_->probation().answered()},
-                     {"needed", keeper_->probation().needed()}};
+    if (voter_->stage() == Voter::Stage::kRejoinCheck)
+      out["asks"] = {{"answered", voter_->rejoin_check().answered()},
+                     {"needed", voter_->rejoin_check().needed()}};
   }
   return out;
 }
 
 // ---- the view ----
 
-bool Node::settled() const {
-  return keeper_ && keeper_->stage() == Voter::Stage::kRunning && keeper_->heard_leader() != 0 &&
-         outside_.now() - keeper_->heard_leader() < kQuiet;
+bool Node::hears_leader() const {
+  return voter_ && voter_->stage() == Voter::Stage::kRunning &&
+         voter_->last_leader_contact() != 0 &&
+         env_.now() - voter_->last_leader_contact() < kLeaderTimeout;
 }
 
-Micros Node::age() const { return fresh_ < 0 ? -1 : outside_.now() - fresh_; }
+Micros Node::age() const { return fresh_at_ < 0 ? -1 : env_.now() - fresh_at_; }
 
-bool Node::recent() const { return fresh_ >= 0 && age() < kStale; }
+bool Node::recent() const { return fresh_at_ >= 0 && age() < kMaxViewAge; }
 
 /// A keeper's own log comes before what others feed it.
-void Node::take_view() {
-  if (!keeper_ || keeper_->stage() != Voter::Stage::kRunning) return;
-  const View& own = keeper_->view();
-  if (view_.position().before(own.position())) show(own.since(view_.position()));
-  if (settled() && !own.position().before(view_.position()))
-    fresh_ = std::max(fresh_, keeper_->heard_leader());
+void Node::update_view_from_log() {
+  if (!voter_ || voter_->stage() != Voter::Stage::kRunning) return;
+  const View& own = voter_->view();
+  if (view_.position().before(own.position())) apply_view_update(own.since(view_.position()));
+  if (hears_leader() && !own.position().before(view_.position()))
+    fresh_at_ = std::max(fresh_at_, voter_->last_leader_contact());
 }
 
 /// Takes an update, first on the disk and then for others to see: a view that was seen must not be
 /// gone after a restart. False where nothing newer came of it.
-bool Node::show(const View::Update& update) {
+bool Node::apply_view_update(const View::Update& update) {
   View next = view_;
-  auto taken = next.take(update);
-  if (taken == View::Taken::kUnfit) whole_ = true;
-  if (taken != View::Taken::kNewer) return false;
+  auto taken = next.apply_update(update);
+  if (taken == View::UpdateResult::kMismatch) full_state_needed_ = true;
+  if (taken != View::UpdateResult::kApplied) return false;
   if (!storage_.commit({Op::view(next.state().snapshot())})) {
-    outside_.log_event("ledger-disk-failed",
-                       "the ledger's files take no more; this router stays at what it has");
+    env_.log_event("ledger-disk-failed",
+                   "the ledger's files take no more; this router stays at what it has");
     return false;
   }
   view_ = std::move(next);
-  whole_ = false;
-  outside_.on_view(view_);
+  full_state_needed_ = false;
+  env_.on_view(view_);
   for (const auto& [name, follower] : followers_) feed(name, follower.at);
-  push_calls();
+  process_calls();
   return true;
 }
 
@@ -519,7 +525,7 @@
   followers_[name].at = update.to;
   send(name, "feed",
        {{"update", update.json()},
-        {"fresh", fresh_ >= 0},
+        {"fresh", fresh_at_ >= 0},
         {"age", static_cast<std::uint64_t>(std::max<Micros>(age(), 0))},
         {"leader", leader()}});
 }
@@ -529,96 +535,96 @@
   if (followers_.size() >= settings_.followers && !followers_.count(f.name)) {
     Json names = Json::array();
     for (const auto& [name, follower] : followers_)
-      if (names.size() < kMostNames && outside_.random() % followers_.size() < kMostNames)
+      if (names.size() < kMaxNames && env_.random() % followers_.size() < kMaxNames)
         names.push_back(name);
     return send(f.name, "feed", {{"full", names}, {"leader", leader()}});
   }
-  followers_[f.name].heard = outside_.now();
+  followers_[f.name].last_heard = env_.now();
   feed(f.name, Position::parse(f.body["at"]));
 }
 
 void Node::on_feed(const Frame& f) {
   std::string said = text(f.body, "leader");
-  if (!said.empty() && !(keeper_ && keeper_->is_leader())) leader_ = said;
+  if (!said.empty() && !(voter_ && voter_->is_leader())) leader_ = said;
   if (f.name != parent_) return;
   if (f.body.contains("full")) {
     // One of those that it feeds has room, or knows who has.
     const Json& names = f.body["full"];
     parent_.clear();
-    if (names.is_array() && !names.empty() && names[outside_.random() % names.size()].is_string()) {
-      std::string next = names[outside_.random() % names.size()];
+    if (names.is_array() && !names.empty() && names[env_.random() % names.size()].is_string()) {
+      std::string next = names[env_.random() % names.size()];
       if (settings_.peers.count(next)) parent_ = next;
     }
-    parent_heard_ = outside_.now();
-    next_follow_ = outside_.now() + static_cast<Micros>(outside_.random() % (200 * kMs));
+    parent_alive_at_ = env_.now();
+    next_follow_ = env_.now() + static_cast<Micros>(env_.random() % (200 * kMs));
     return;
   }
   if (!f.body.contains("update")) return;
   auto update = View::Update::parse(f.body["update"]);
   if (!update) return;
-  bool newer = show(*update);
+  bool newer = apply_view_update(*update);
   if (view_.position() == update->to && flag(f.body, "fresh"))
-    fresh_ = std::max(fresh_, outside_.now() - static_cast<Micros>(number(f.body, "age")));
+    fresh_at_ = std::max(fresh_at_, env_.now() - static_cast<Micros>(number(f.body, "age")));
   // Two that follow each other, cut off from the rest, agree for ever: what counts is whether the
   // parent's view is a recent one, or brings this one on.
-  if (newer || recent()) parent_heard_ = outside_.now();
+  if (newer || recent()) parent_alive_at_ = env_.now();
   // More than one answer's worth, or from another place than where this one stands.
-  if ((newer && view_.position().before(update->to)) || update->calls.size() == View::kMostGiven ||
-      whole_)
-    next_follow_ = outside_.now();
+  if ((newer && view_.position().before(update->to)) ||
+      update->calls.size() == View::kMaxCallsPerUpdate || full_state_needed_)
+    next_follow_ = env_.now();
 }
 
 void Node::follow() {
-  Micros now = outside_.now();
-  if (settled() || now < next_follow_) return;
-  next_follow_ = now + kFollowEvery + static_cast<Micros>(outside_.random() % (kFollowEvery / 2));
-  if (parent_.empty() || now - parent_heard_ > kParentTime) {
-    parent_ = parent_.empty() && !leader_.empty() && leader_ != settings_.name &&
-                      outside_.random() % 4 == 0
-                  ? leader_
-                  : any_peer();
-    parent_heard_ = now;
-  }
-  Position at = whole_ ? Position() : view_.position();
+  Micros now = env_.now();
+  if (hears_leader() || now < next_follow_) return;
+  next_follow_ = now + kFollowInterval + static_cast<Micros>(env_.random() % (kFollowInterval / 2));
+  if (parent_.empty() || now - parent_alive_at_ > kParentTimeout) {
+    parent_ =
+        parent_.empty() && !leader_.empty() && leader_ != settings_.name && env_.random() % 4 == 0
+            ? leader_
+            : random_peer();
+    parent_alive_at_ = now;
+  }
+  Position at = full_state_needed_ ? Position() : view_.position();
   send(parent_, "follow", {{"at", at.json()}});
 }
 
 /// What this router tells of itself, with what it acts on, goes to others in case it is lost with
 /// its disk.
-void Node::say_to_witnesses() {
-  if (settings_.witnesses == 0 || meta_.group == 0) return;
-  auto whom = witnesses_.due(outside_.now());
-  if (whom.empty()) return;
+void Node::replicate_summary() {
+  if (settings_.summary_holders == 0 || meta_.group == 0) return;
+  auto targets = summaries_.next_targets(env_.now());
+  if (targets.empty()) return;
   // Past the numbers of the life before, which are not kept.
-  Json body{{"number", meta_.boot << 32 | ++summaries_}, {"said", told_}};
+  Json body{{"number", meta_.boot << 32 | ++summary_number_}, {"said", extra_status_}};
   body["said"]["age_us"] = age();
-  for (const std::string& name : whom) send(name, "summary", body);
+  for (const std::string& name : targets) send(name, "summary", body);
 }
 
 void Node::on_summary(const Frame& f) {
-  if (settings_.witnesses == 0 || !f.body.contains("said") || !f.body["said"].is_object() ||
+  if (settings_.summary_holders == 0 || !f.body.contains("said") || !f.body["said"].is_object() ||
       !f.body.contains("number") || !f.body["number"].is_number_unsigned())
     return;
-  if (witnesses_.hold(f.name, f.identity, f.body["number"], f.body["said"], outside_.now()))
-    answer(f, "summary-held", Json::object());
+  if (summaries_.store(f.name, f.identity, f.body["number"], f.body["said"], env_.now()))
+    reply_to(f, "summary-held", Json::object());
 }
 
-std::string Node::any_peer() const {
+std::string Node::random_peer() const {
   if (settings_.peers.empty()) return {};
   auto it = settings_.peers.begin();
-  std::advance(it, static_cast<long>(outside_.random() % settings_.peers.size()));
+  std::advance(it, static_cast<long>(env_.random() % settings_.peers.size()));
   return it->first;
 }
 
 std::string Node::leader() {
-  if (keeper_ && keeper_->stage() == Voter::Stage::kRunning) {
-    std::string own = keeper_->leader();
+  if (voter_ && voter_->stage() == Voter::Stage::kRunning) {
+    std::string own = voter_->leader();
     if (!own.empty()) return own;
   }
   return leader_ == settings_.name ? std::string() : leader_;
 }
 
-std::string Node::hall_of(const std::string& name) const {
+std::string Node::zone_of(const std::string& name) const {
   if (name == settings_.name) return settings_.zone;
   auto it = settings_.peers.find(name);
   return it == settings_.peers.end() ? std::string() : it->second;
@@ -627,79 +633,79 @@
 // ---- time ----
 
 void Node::tick() {
-  Micros now = outside_.now();
+  Micros now = env_.now();
   // Nobody was silent in a time that this one has not lived through.
-  if (now - last_tick_ > kFrozen && leading_since_ != 0) leading_since_ = now;
+  if (now - last_tick_ > kMaxTickGap && leading_since_ != 0) leading_since_ = now;
   last_tick_ = now;
   if (!open_) {
-    if (now >= reopen_) {
-      reopen_ = now + kReopen;
+    if (now >= reopen_at_) {
+      reopen_at_ = now + kReopenDelay;
       open();
     }
-    push_calls();
+    process_calls();
     return;
   }
-  if (keeper_) {
-    keeper_->tick();
-    if (keeper_->stage() == Voter::Stage::kOldDisk) {
-      begin_anew("an old disk");
-    } else if (keeper_->stage() == Voter::Stage::kAgain) {
-      outside_.log_event("ledger-again", "the ledger's members of a lost leader are dropped");
-      drop_keeper();
+  if (voter_) {
+    voter_->tick();
+    if (voter_->stage() == Voter::Stage::kStaleDisk) {
+      start_with_new_identity("an old disk");
+    } else if (voter_->stage() == Voter::Stage::kReopen) {
+      env_.log_event("ledger-again", "the ledger's members of a lost leader are dropped");
+      close_voter();
       open();
-    } else if (keeper_->stage() == Voter::Stage::kFailed) {
-      outside_.log_event("ledger-disk-failed",
-                         "the ledger's files failed; opened again in a second");
-      drop_keeper();
+    } else if (voter_->stage() == Voter::Stage::kFailed) {
+      env_.log_event("ledger-disk-failed", "the ledger's files failed; opened again in a second");
+      close_voter();
       open_ = false;
-      reopen_ = now + kReopen;
+      reopen_at_ = now + kReopenDelay;
     }
   }
   if (!open_) return;
-  take_view();
+  update_view_from_log();
   ask();
   follow();
-  heal();
-  push_calls();
-  say_to_witnesses();
+  reconfigure();
+  process_calls();
+  replicate_summary();
   for (auto it = followers_.begin(); it != followers_.end();)
-    it = now - it->second.heard > kFollowerTime ? followers_.erase(it) : std::next(it);
+    it = now - it->second.last_heard > kFollowerTimeout ? followers_.erase(it) : std::next(it);
 }
 
 void Node::ask() {
-  Micros now = outside_.now();
-  if (keeper_ && keeper_->stage() == Voter::Stage::kAsking && now >= next_ask_) {
-    next_ask_ = now + kAskEvery;
-    std::set<std::string> whom{leader()};
-    for (const RaftMember& m : keeper_->members()) whom.insert(name_in(m.address));
+  Micros now = env_.now();
+  if (voter_ && voter_->stage() == Voter::Stage::kRejoinCheck && now >= next_ask_) {
+    next_ask_ = now + kAskInterval;
+    std::set<std::string> targets{leader()};
+    for (const RaftMember& m : voter_->members()) targets.insert(name_in(m.address));
     // And some of the rest: the disk may name nobody who still keeps.
-    for (std::size_t i = 0; i < kAskMore; ++i) whom.insert(any_peer());
-    for (const std::string& name : whom) send(name, "ask", Json::object());
+    for (std::size_t i = 0; i < kExtraAskTargets; ++i) targets.insert(random_peer());
+    for (const std::string& name : targets) send(name, "ask", Json::object());
   }
   if (!settings_.may_vote || now < next_hello_ || meta_.group == 0) return;
-  next_hello_ = now + kHelloEvery + static_cast<Micros>(outside_.random() % kHelloEvery);
-  if (settled() && keeper_->votes()) return;
+  next_hello_ = now + kHelloInterval + static_cast<Micros>(env_.random() % kHelloInterval);
+  if (hears_leader() && voter_->votes()) return;
   std::string to = leader();
-  if (to.empty() || outside_.random() % 4 == 0) to = any_peer();
+  if (to.empty() || env_.random() % 4 == 0) to = random_peer();
   send(to, "hello", Json::object());
 }
 
 std::vector<core::ledger::Member> Node::members() {
-  Micros now = outside_.now();
+  Micros now = env_.now();
   std::vector<core::ledger::Member> members;
-  for (const RaftMember& m : keeper_->members()) {
-    auto known = known_.find(m.identity);
-    Micros heard = std::max(known == known_.end() ? 0 : known->second.heard, leading_since_);
-    bool gone = m.identity != meta_.identity && now - heard > settings_.replace_after;
+  for (const RaftMember& m : voter_->members()) {
+    auto known = known_peers_.find(m.identity);
+    Micros heard =
+        std::max(known == known_peers_.end() ? 0 : known->second.last_heard, leading_since_);
+    bool unreachable = m.identity != meta_.identity && now - heard > settings_.replace_after;
     std::string name = name_in(m.address);
-    members.push_back({m.identity, name, hall_of(name), m.role == RAFT_VOTER, gone});
+    members.push_back({m.identity, name, zone_of(name), m.role == RAFT_VOTER, unreachable});
   }
   return members;
 }
 
-void Node::heal() {
-  Micros now = outside_.now();
-  if (!keeper_ || !keeper_->is_leader()) {
+void Node::reconfigure() {
+  Micros now = env_.now();
+  if (!voter_ || !voter_->is_leader()) {
     leading_since_ = 0;
     return;
   }
@@ -707,158 +713,160 @@
     leading_since_ = now;
     hellos_.clear();  // what was said to an earlier leader may have been overtaken
   }
-  if (now < next_heal_ || keeper_->changing()) return;
-  next_heal_ = now + kHealEvery;
-  if (now > move_until_) move_.reset();
-  if (give_way()) return;
+  if (now < next_reconfigure_ || voter_->changing()) return;
+  next_reconfigure_ = now + kReconfigureInterval;
+  if (now > move_deadline_) move_.reset();
+  if (transfer_from_slow_disk()) return;
   std::vector<core::ledger::Candidate> candidates;
   auto all = members();
   for (auto it = hellos_.begin(); it != hellos_.end();) {
-    if (now - it->second.heard > kHelloTime) {
+    if (now - it->second.last_heard > kHelloTimeout) {
       it = hellos_.erase(it);
       continue;
     }
     // One that says that it is another by the name of a member: believed once it has said so for a
     // while and the member has said nothing. A hello that was long under way is not enough.
     const Hello& h = it->second;
-    bool doubted = std::any_of(all.begin(), all.end(), [&](const auto& m) {
+    bool unconfirmed = std::any_of(all.begin(), all.end(), [&](const auto& m) {
       if (m.name != h.candidate.name) return false;
-      auto known = known_.find(m.identity);
-      bool silent = known == known_.end() || now - known->second.heard > kSilent;
-      return !silent || now - h.first < kSilent;
+      auto known = known_peers_.find(m.identity);
+      bool silent = known == known_peers_.end() || now - known->second.last_heard > kSilenceTimeout;
+      return !silent || now - h.first_heard < kSilenceTimeout;
     });
-    if (!doubted) candidates.push_back(h.candidate);
+    if (!unconfirmed) candidates.push_back(h.candidate);
     ++it;
   }
-  if (auto step =
-          core::ledger::next_step(meta_.identity, settings_.voters, all, candidates, move_)) {
-    outside_.log_event(
+  if (auto change =
+          core::ledger::next_change(meta_.identity, settings_.voters, all, candidates, move_)) {
+    env_.log_event(
         "ledger-members",
-        std::string(step->kind == core::ledger::Step::Kind::kAdd      ? "adds "
-                    : step->kind == core::ledger::Step::Kind::kRemove ? "removes "
-                                                                      : "promotes ") +
-            step->name + "#" + std::to_string(step->identity));
-    keeper_->take_step(*step);
-    if (step->kind == core::ledger::Step::Kind::kAdd) hellos_.erase(step->name);
+        std::string(change->kind == core::ledger::MembershipChange::Kind::kAdd      ? "adds "
+                    : change->kind == core::ledger::MembershipChange::Kind::kRemove ? "removes "
+                                                                                    : "promotes ") +
+            change->name + "#" + std::to_string(change->identity));
+    voter_->apply_change(*change);
+    if (change->kind == core::ledger::MembershipChange::Kind::kAdd) hellos_.erase(change->name);
   }
 }
 
 /// A leader whose disk has become slow makes every promise slow. Another leads, where one has a
 /// disk that is clearly better and is as far.
-bool Node::give_way() {
-  Micros now = outside_.now();
-  if (storage_.mean() < kSlowDisk || (gave_way_ != 0 && now - gave_way_ < kGiveWayEvery))
+bool Node::transfer_from_slow_disk() {
+  Micros now = env_.now();
+  if (storage_.mean_commit_us() < kSlowCommit ||
+      (slow_disk_transfer_at_ != 0 && now - slow_disk_transfer_at_ < kSlowDiskTransferInterval))
     return false;
   std::uint64_t to = 0;
-  Micros best = storage_.mean() / 4;
-  for (const RaftMember& m : keeper_->members()) {
-    auto known = known_.find(m.identity);
-    if (m.identity == meta_.identity || m.role != RAFT_VOTER || known == known_.end()) continue;
-    const Known& k = known->second;
-    if (now - k.heard > kSilent || k.disk >= best ||
-        k.mark.last_index + kNearly < keeper_->log_position().last_index)
+  Micros best = storage_.mean_commit_us() / 4;
+  for (const RaftMember& m : voter_->members()) {
+    auto known = known_peers_.find(m.identity);
+    if (m.identity == meta_.identity || m.role != RAFT_VOTER || known == known_peers_.end())
+      continue;
+    const KnownPeer& k = known->second;
+    if (now - k.last_heard > kSilenceTimeout || k.commit_us >= best ||
+        k.position.last_index + kMaxLagEntries < voter_->log_position().last_index)
       continue;
     to = m.identity;
-    best = k.disk;
+    best = k.commit_us;
   }
   if (to == 0) return false;
-  gave_way_ = now;
-  outside_.log_event(
-      "ledger-slow-disk",
-      "a commit takes " + std::to_string(storage_.mean() / 1000) + " ms; another leads the ledger");
-  keeper_->hand_over(to);
+  slow_disk_transfer_at_ = now;
+  env_.log_event("ledger-slow-disk", "a commit takes " +
+                                         std::to_string(storage_.mean_commit_us() / 1000) +
+                                         " ms; another leads the ledger");
+  voter_->transfer_leadership(to);
   return true;
 }
 
 /// One keeper is to give its place to another router.
 Json Node::move(const Json& body) {
   std::string from = text(body, "from"), to = text(body, "to");
-  if (!keeper_ || !keeper_->is_leader()) return {{"leader", leader()}};
+  if (!voter_ || !voter_->is_leader()) return {{"leader", leader()}};
   auto all = members();
   if (move_ &&
       std::any_of(all.begin(), all.end(), [&](const auto& m) { return m.name == move_->from; }))
     return {{"error", "a move is under way: " + move_->from + " to " + move_->to}};
   auto hello = hellos_.find(to);
   auto candidate = hello == hellos_.end() ? std::nullopt : std::optional(hello->second.candidate);
-  std::string why = core::ledger::why_not({from, to}, settings_.voters, all, candidate);
+  std::string why = core::ledger::move_error({from, to}, settings_.voters, all, candidate);
   if (!why.empty()) return {{"error", why}};
   if (!candidate)
     return {{"again", "'" + to + "' has not said lately that it may be made a keeper"}};
   if (from == settings_.name) {
-    keeper_->hand_over();
+    voter_->transfer_leadership();
     return {{"again", "it leads; another does now"}};
   }
   move_ = core::ledger::Move{from, to};
-  move_until_ = outside_.now() + kMoveTime;
+  move_deadline_ = env_.now() + kMoveTimeout;
   return {{"moving", from + " to " + to}};
 }
 
 void Node::transfer_leadership() {
-  if (keeper_) keeper_->hand_over();
+  if (voter_) voter_->transfer_leadership();
 }
 
 // ---- calls ----
 
 void Node::call(Call call, Done done) {
-  if (queue_.size() + pending_.size() >= kMostCalls) return done(std::nullopt, "too many calls");
+  if (queue_.size() + pending_.size() >= kMaxCalls) return done(std::nullopt, "too many calls");
   queue_.emplace_back(std::move(call), std::move(done));
-  push_calls();
+  process_calls();
 }
 
-void Node::push_calls() {
-  Micros now = outside_.now();
+void Node::process_calls() {
+  Micros now = env_.now();
   while (!own_pending_ && !queue_.empty()) {
     auto [call, done] = std::move(queue_.front());
     queue_.pop_front();
     call.caller = caller_;
-    call.number = ++calls_;
-    call.known = first_known_;
+    call.number = ++last_call_number_;
+    call.known = position_at_start_;
     own_pending_ = next_id_++;
-    pending_[own_pending_] = {std::move(call), std::move(done), now + kCallTime, now, {}, {}, 0};
+    pending_[own_pending_] = {std::move(call), std::move(done), now + kCallTimeout, now, {}, {}, 0};
   }
-  std::vector<std::uint64_t> late, due, there;
+  std::vector<std::uint64_t> expired, ready, visible;
   for (auto& [id, p] : pending_) {
-    if (p.outcome && (now >= p.until || view_.position().at >= p.seen_at))
-      there.push_back(id);
-    else if (now >= p.until)
-      late.push_back(id);
-    else if (now >= p.next && !p.outcome)
-      due.push_back(id);
-  }
-  for (std::uint64_t id : there)
+    if (p.outcome && (now >= p.deadline || view_.position().at >= p.committed_at))
+      visible.push_back(id);
+    else if (now >= p.deadline)
+      expired.push_back(id);
+    else if (now >= p.next_attempt && !p.outcome)
+      ready.push_back(id);
+  }
+  for (std::uint64_t id : visible)
     if (auto it = pending_.find(id); it != pending_.end()) finish(id, it->second.outcome, "");
-  for (std::uint64_t id : late)
+  for (std::uint64_t id : expired)
     finish(id, std::nullopt,
            "no answer from a majority of the ledger's keepers; whether it holds is not known");
-  for (std::uint64_t id : due)
-    if (auto it = pending_.find(id); it != pending_.end()) try_call(id, it->second);
+  for (std::uint64_t id : ready)
+    if (auto it = pending_.find(id); it != pending_.end()) send_call(id, it->second);
 }
 
-void Node::try_call(std::uint64_t id, Pending& p) {
-  p.next = outside_.now() + kTryEvery;
+void Node::send_call(std::uint64_t id, Pending& p) {
+  p.next_attempt = env_.now() + kCallRetryInterval;
   if (!open_) return;
-  if (keeper_ && (keeper_->is_leader() ||
-                  (mutant(Mutant::kReadsOwnState) && p.call.kind == Call::Kind::kGet))) {
+  if (voter_ && (voter_->is_leader() ||
+                 (mutant(Mutant::kReadsOwnState) && p.call.kind == Call::Kind::kGet))) {
     p.target = settings_.name;
     Call call = p.call;
-    keeper_->submit(call, [this, id](std::optional<Outcome> outcome) {
-      if (outcome) settle(id, *outcome, keeper_->view().position().at);
+    voter_->submit(call, [this, id](std::optional<Outcome> outcome) {
+      if (outcome) set_outcome(id, *outcome, voter_->view().position().at);
     });
-    return take_view();
+    return update_view_from_log();
   }
   std::string to = leader();
   // A leader that did not answer may be none any more.
-  if (to.empty() || (to == p.target && outside_.random() % 2 == 0)) to = any_peer();
+  if (to.empty() || (to == p.target && env_.random() % 2 == 0)) to = random_peer();
   p.target = to;
   send(to, "call", {{"id", id}, {"call", p.call.json()}});
 }
 
 /// The outcome is known. It is told once this router acts on it too.
-void Node::settle(std::uint64_t id, const Outcome& outcome, std::uint64_t at) {
+void Node::set_outcome(std::uint64_t id, const Outcome& outcome, std::uint64_t at) {
   auto it = pending_.find(id);
   if (it == pending_.end()) return;
   it->second.outcome = outcome;
-  it->second.seen_at = at;
+  it->second.committed_at = at;
   if (view_.position().at >= at) finish(id, outcome, "");
 }
 
--- a/src/daemon/ledger/node.hpp
+++ b/src/daemon/ledger/node.hpp
@@ -28,14 +28,14 @@
   std::size_t voters = 3;                    ///< how many are to vote
   std::size_t followers = 64;                ///< that one router feeds
   Micros replace_after = 60'000'000;         ///< a keeper that is gone for so long gives way
-  std::size_t witnesses = 0;                 ///< others that hold what status() last said
+  std::size_t summary_holders = 0;           ///< others that hold what status() last said
   Timing timing;
 };
 
 class Node {
  public:
-  static constexpr Micros kCallTime = 950'000;  ///< then a call is told that nothing is known
-  static constexpr std::size_t kMostCalls = 256;
+  static constexpr Micros kCallTimeout = 950'000;  ///< then a call is told that nothing is known
+  static constexpr std::size_t kMaxCalls = 256;
 
   class Environment {
    public:
@@ -52,7 +52,7 @@
   using Done = std::function<void(std::optional<Outcome>, const std::string& why)>;
 
   /// All outlives it. Opens what the storage holds.
-  Node(Storage& storage, const NodeSettings& settings, Environment& outside);
+  Node(Storage& storage, const NodeSettings& settings, Environment& env);
   ~Node();
 
   void tick();
@@ -70,52 +70,54 @@
   bool recent() const;
   Json status();
   /// More to say in status(), under `key`.
-  void tell(const std::string& key, Json what) { told_[key] = std::move(what); }
-  const Voter* voter() const { return keeper_.get(); }
+  void set_status_field(const std::string& key, Json value) {
+    extra_status_[key] = std::move(value);
+  }
+  const Voter* voter() const { return voter_.get(); }
   const Meta& meta() const { return meta_; }
 
  private:
   struct Frame {
     std::string name, kind;
-    std::uint64_t group = 0, epoch = 0, identity = 0, boot = 0, to = 0, disk = 0, link = 0;
-    LogPosition mark;
+    std::uint64_t group = 0, epoch = 0, identity = 0, boot = 0, to = 0, commit_us = 0, link = 0;
+    LogPosition position;
     Json body;
   };
   struct Pending {
     Call call;
     Done done;
-    Micros until = 0, next = 0;
+    Micros deadline = 0, next_attempt = 0;
     std::string target;
-    std::optional<Outcome> outcome;  ///< known, and told once the view is at `seen_at`
-    std::uint64_t seen_at = 0;
+    std::optional<Outcome> outcome;  ///< known, and told once the view is at `committed_at`
+    std::uint64_t committed_at = 0;
   };
-  struct Known {
-    LogPosition mark;
+  struct KnownPeer {
+    LogPosition position;
     std::uint64_t boot = 0;
-    Micros heard = 0;
-    Micros disk = 0;  ///< mean of its commits
+    Micros last_heard = 0;
+    Micros commit_us = 0;  ///< mean of its commits
   };
   struct Follower {
-    Micros heard = 0;
+    Micros last_heard = 0;
     core::ledger::Position at;
   };
   struct Hello {
     core::ledger::Candidate candidate;
-    Micros first = 0, heard = 0;
+    Micros first_heard = 0, last_heard = 0;
   };
 
   // Opening and giving up.
   void open();
-  void begin_anew(const std::string& why);
-  bool keep_meta(std::vector<Op> more = {});
-  void open_keeper(Image&& image);
-  void drop_keeper();
+  void start_with_new_identity(const std::string& why);
+  bool commit_meta(std::vector<Op> extra_ops = {});
+  void open_voter(Image&& image);
+  void close_voter();
   // Frames.
   std::optional<Frame> read(const std::string& bytes, std::uint64_t link);
   std::string frame(const std::string& kind, const Json& body, std::uint64_t to = 0);
   void send(const std::string& name, const std::string& kind, const Json& body,
             std::uint64_t to = 0);
-  void answer(const Frame& to, const std::string& kind, const Json& body);
+  void reply_to(const Frame& to, const std::string& kind, const Json& body);
   bool admit(const Frame& f);
   void on_raft(const Frame& f);
   void on_ask(const Frame& f);
@@ -127,52 +129,53 @@
   void on_feed(const Frame& f);
   void on_client(const Frame& f);
   void on_summary(const Frame& f);
-  Json found();
+  Json create_group();
   // Time.
   void ask();
   void follow();
-  void heal();
-  bool give_way();
-  void say_to_witnesses();
+  void reconfigure();
+  bool transfer_from_slow_disk();
+  void replicate_summary();
   Json move(const Json& body);
-  void push_calls();
-  void try_call(std::uint64_t id, Pending& p);
-  void settle(std::uint64_t id, const Outcome& outcome, std::uint64_t at);
+  void process_calls();
+  void send_call(std::uint64_t id, Pending& p);
+  void set_outcome(std::uint64_t id, const Outcome& outcome, std::uint64_t at);
   void finish(std::uint64_t id, std::optional<Outcome> outcome, const std::string& why);
-  void take_view();
-  bool show(const View::Update& update);
+  void update_view_from_log();
+  bool apply_view_update(const View::Update& update);
   void feed(const std::string& name, const core::ledger::Position& at);
-  bool settled() const;
+  bool hears_leader() const;
   std::string leader();
-  std::string hall_of(const std::string& name) const;
+  std::string zone_of(const std::string& name) const;
   std::vector<core::ledger::Member> members();
-  std::string any_peer() const;
+  std::string random_peer() const;
 
-  Stopwatch storage_;
-  Json told_ = Json::object();
-  std::uint64_t summaries_ = 0;
+  TimedStorage storage_;
+  Json extra_status_ = Json::object();
+  std::uint64_t summary_number_ = 0;
   NodeSettings settings_;
-  Environment& outside_;
+  Environment& env_;
   Meta meta_;
   View view_;
-  core::audit::Witnesses witnesses_;
-  std::unique_ptr<Voter> keeper_;
-  std::map<std::uint64_t, Known> known_;  // identities heard of
+  core::audit::SummaryReplication summaries_;
+  std::unique_ptr<Voter> voter_;
+  std::map<std::uint64_t, KnownPeer> known_peers_;  // identities heard of
   std::map<std::string, Follower> followers_;
   std::map<std::string, Hello> hellos_;
   std::map<std::uint64_t, Pending> pending_;
   std::deque<std::pair<Call, Done>> queue_;  // own calls that wait for the one before
-  std::uint64_t caller_, calls_ = 0, own_pending_ = 0, first_known_ = 0;
+  std::uint64_t caller_, last_call_number_ = 0, own_pending_ = 0, position_at_start_ = 0;
   /// Of calls on their way; from another place at each start, so that an answer to a call of the
   /// life before is nobody's.
   std::uint64_t next_id_;
   std::string leader_, parent_;
-  Micros fresh_ = -1;  // when the view was known to be the newest; -1 = never
-  Micros last_tick_ = 0, next_ask_ = 0, next_follow_ = 0, next_hello_ = 0, next_heal_ = 0;
+  Micros fresh_at_ = -1;  // when the view was known to be the newest; -1 = never
+  Micros last_tick_ = 0, next_ask_ = 0, next_follow_ = 0, next_hello_ = 0, next_reconfigure_ = 0;
   std::optional<core::ledger::Move> move_;
-  Micros move_until_ = 0, gave_way_ = 0;
-  Micros leading_since_ = 0, reopen_ = 0, parent_heard_ = 0;
-  bool open_ = false, whole_ = false;  // `whole_`: the next follow asks for all of the state
+  Micros move_deadline_ = 0, slow_disk_transfer_at_ = 0;
+  Micros leading_since_ = 0, reopen_at_ = 0, parent_alive_at_ = 0;
+  bool open_ = false, full_state_needed_ =
+                          false;  // `full_state_needed_`: the next follow asks for all of the state
 };
 
 }  // namespace violetusher::ledger
--- a/src/daemon/ledger/raft_port.cpp
+++ b/src/daemon/ledger/raft_port.cpp
@@ -13,10 +13,10 @@
 using core::ledger::mutant;
 using core::ledger::Mutant;
 
-constexpr std::size_t kMostEntries = 4096;  // of one message
+constexpr std::size_t kMaxEntries = 4096;  // of one message
 constexpr char kMembersVersion = 1;
 
-bool take_number(std::string_view& in, std::uint64_t& n) {
+bool consume_number(std::string_view& in, std::uint64_t& n) {
   if (in.size() < 8) return false;
   n = 0;
   for (int i = 0; i < 8; ++i)
@@ -119,7 +119,7 @@
       return true;
     case RAFT_IO_APPEND_ENTRIES: {
       const Json& list = v.at(5);
-      if (!list.is_array() || list.size() > kMostEntries) return false;
+      if (!list.is_array() || list.size() > kMaxEntries) return false;
       std::vector<LogEntry> entries;
       for (const Json& e : list) {
         if (!e.at(2).is_binary()) return false;
@@ -166,10 +166,10 @@
   std::uint64_t count = 0;
   if (in.empty() || in[0] != kMembersVersion) return {};
   in.remove_prefix(1);
-  if (!take_number(in, count) || count > 64) return {};
+  if (!consume_number(in, count) || count > 64) return {};
   while (count-- > 0) {
     RaftMember m;
-    if (!take_number(in, m.identity) || m.identity == 0) return {};
+    if (!consume_number(in, m.identity) || m.identity == 0) return {};
     std::size_t end = in.find('\0');
     if (end == in.npos || end + 1 >= in.size()) return {};
     m.address = in.substr(0, end);
@@ -205,19 +205,19 @@
   return {image.snapshot->members_index, read_members(image.snapshot->members)};
 }
 
-RaftPort::RaftPort(Storage& storage, Image&& image, const LogPosition& floor, Environment outside)
-    : storage_(storage), image_(std::move(image)), outside_(std::move(outside)), floor_(floor) {
+RaftPort::RaftPort(Storage& storage, Image&& image, const LogPosition& floor, Environment env)
+    : storage_(storage), image_(std::move(image)), env_(std::move(env)), floor_(floor) {
   if (mutant(Mutant::kVoteForgotten)) image_.vote = 0;
-  mark_.term = image_.term;
+  position_.term = image_.term;
   if (image_.snapshot) {
-    mark_.last_term = image_.snapshot->term;
-    mark_.last_index = image_.snapshot->index;
+    position_.last_term = image_.snapshot->term;
+    position_.last_index = image_.snapshot->index;
   }
-  if (!image_.log.empty() && image_.log.back().index >= mark_.last_index) {
-    mark_.last_term = image_.log.back().term;
-    mark_.last_index = image_.log.back().index;
+  if (!image_.log.empty() && image_.log.back().index >= position_.last_index) {
+    position_.last_term = image_.log.back().term;
+    position_.last_index = image_.log.back().index;
   }
-  next_index_ = mark_.last_index + 1;
+  next_index_ = position_.last_index + 1;
   io_.version = 1;
   io_.impl = this;
   io_.init = [](raft_io*, raft_id, const char*) { return 0; };
@@ -240,10 +240,10 @@
   io_.bootstrap = [](raft_io*, const raft_configuration*) { return int{RAFT_CANTBOOTSTRAP}; };
   io_.recover = [](raft_io*, const raft_configuration*) { return int{RAFT_CANTBOOTSTRAP}; };
   io_.set_term = [](raft_io* io, raft_term term) {
-    return of(io).now({Op::count(Op::Kind::kTerm, term)});
+    return of(io).commit_now({Op::with_number(Op::Kind::kTerm, term)});
   };
   io_.set_vote = [](raft_io* io, raft_id id) {
-    return of(io).now({Op::count(Op::Kind::kVote, id)});
+    return of(io).commit_now({Op::with_number(Op::Kind::kVote, id)});
   };
   io_.send = [](raft_io* io, raft_io_send* request, const raft_message* message,
                 raft_io_send_cb done) { return of(io).send(request, *message, done); };
@@ -252,7 +252,7 @@
   io_.truncate = [](raft_io* io, raft_index index) {
     RaftPort& port = of(io);
     port.next_index_ = index;
-    port.waiting_.push_back({{Op::count(Op::Kind::kTruncate, index)}, nullptr});
+    port.pending_.push_back({{Op::with_number(Op::Kind::kTruncate, index)}, nullptr});
     return 0;
   };
   io_.snapshot_put = [](raft_io* io, unsigned trailing, raft_io_snapshot_put* request,
@@ -262,10 +262,10 @@
   io_.snapshot_get = [](raft_io* io, raft_io_snapshot_get* request, raft_io_snapshot_get_cb done) {
     return of(io).get_snapshot(request, done);
   };
-  io_.time = [](raft_io* io) { return static_cast<raft_time>(of(io).outside_.now() / 1000); };
+  io_.time = [](raft_io* io) { return static_cast<raft_time>(of(io).env_.now() / 1000); };
   io_.random = [](raft_io* io, int min, int max) {
     auto span = static_cast<std::uint64_t>(std::max(max - min, 1));
-    return min + static_cast<int>(of(io).outside_.random() % span);
+    return min + static_cast<int>(of(io).env_.random() % span);
   };
 }
 
@@ -298,13 +298,13 @@
 bool RaftPort::write(const std::vector<Op>& ops) {
   if (ops.empty()) return true;
   if (failed_) return false;
-  if (mutant(Mutant::kTrimBeforeSnapshot) && held_.empty()) {
+  if (mutant(Mutant::kTrimBeforeSnapshot) && delayed_.empty()) {
     // What the fault does: the log goes at once, and what replaces it with the next write.
     std::vector<Op> first;
     bool later = false;
     for (const Op& op : ops) {
       if (op.kind == Op::Kind::kSnapshot) {
-        held_.push_back(op);
+        delayed_.push_back(op);
         later = true;
       } else {
         first.push_back(op);
@@ -315,8 +315,8 @@
       return !failed_;
     }
   }
-  std::vector<Op> all = std::move(held_);
-  held_.clear();
+  std::vector<Op> all = std::move(delayed_);
+  delayed_.clear();
   all.insert(all.end(), ops.begin(), ops.end());
   if (!storage_.commit(all)) {
     failed_ = true;
@@ -326,14 +326,14 @@
     if (op.kind == Op::Kind::kAppend)
       image_.log.push_back({op.entry.index, op.entry.term, op.entry.type, {}});
     if (op.kind == Op::Kind::kTruncate || op.kind == Op::Kind::kTrim) apply_ops(image_, {op});
-    if (op.kind == Op::Kind::kTerm) mark_.term = op.number;
+    if (op.kind == Op::Kind::kTerm) position_.term = op.number;
     if (op.kind == Op::Kind::kAppend) {
-      mark_.last_term = op.entry.term;
-      mark_.last_index = op.entry.index;
+      position_.last_term = op.entry.term;
+      position_.last_index = op.entry.index;
     }
     if (op.kind == Op::Kind::kSnapshot) {
-      LogPosition covered{mark_.term, op.snapshot.term, op.snapshot.index};
-      mark_.raise(covered);
+      LogPosition covered{position_.term, op.snapshot.term, op.snapshot.index};
+      position_.raise(covered);
       image_.snapshot = op.snapshot;
     }
   }
@@ -342,18 +342,18 @@
 
 /// libraft 0.15 crashes where a term or a vote can't be written. So it is never told: once a write
 /// has failed nothing of it leaves this port any more, and it is closed.
-int RaftPort::now(std::vector<Op>&& ops) {
+int RaftPort::commit_now(std::vector<Op>&& ops) {
   write(ops);
   return 0;
 }
 
 int RaftPort::send(raft_io_send* request, const raft_message& message, raft_io_send_cb done) {
-  bool held_back = message.type == RAFT_IO_REQUEST_VOTE && mark_.log_before(floor_) &&
-                   !mutant(Mutant::kFloorIgnored);
-  if (!held_back && !failed_) {
-    outside_.send(message.server_id, message.server_address, encode(message));
+  bool withheld = message.type == RAFT_IO_REQUEST_VOTE && position_.log_before(floor_) &&
+                  !mutant(Mutant::kFloorIgnored);
+  if (!withheld && !failed_) {
+    env_.send(message.server_id, message.server_address, encode(message));
   }
-  waiting_.push_back({{}, [request, done](int status) {
+  pending_.push_back({{}, [request, done](int status) {
                         if (done) done(request, status);
                       }});
   return 0;
@@ -361,12 +361,12 @@
 
 int RaftPort::append(raft_io_append* request, const raft_entry* entries, unsigned count,
                      raft_io_append_cb done) {
-  Waiting waiting{{}, [request, done](int status) { done(request, status); }};
+  PendingOps waiting{{}, [request, done](int status) { done(request, status); }};
   for (unsigned i = 0; i < count; ++i) {
     waiting.ops.push_back(Op::append(
         {next_index_++, entries[i].term, entries[i].type, std::string(text(entries[i].buf))}));
   }
-  waiting_.push_back(std::move(waiting));
+  pending_.push_back(std::move(waiting));
   return 0;
 }
 
@@ -379,20 +379,20 @@
                     {}});
   for (unsigned i = 0; i < snapshot.n_bufs; ++i) put.snapshot.bytes += text(snapshot.bufs[i]);
   if (mutant(Mutant::kSnapshotLosesIndex)) ++put.snapshot.index;
-  Waiting waiting{{std::move(put)}, [request, done](int status) { done(request, status); }};
+  PendingOps waiting{{std::move(put)}, [request, done](int status) { done(request, status); }};
   if (trailing == 0) {
     // It came from the leader and stands for the whole log.
-    waiting.ops.push_back(Op::count(Op::Kind::kTruncate, 0));
+    waiting.ops.push_back(Op::with_number(Op::Kind::kTruncate, 0));
     next_index_ = snapshot.index + 1;
   } else if (snapshot.index > trailing) {
-    waiting.ops.push_back(Op::count(Op::Kind::kTrim, snapshot.index - trailing));
+    waiting.ops.push_back(Op::with_number(Op::Kind::kTrim, snapshot.index - trailing));
   }
-  waiting_.push_back(std::move(waiting));
+  pending_.push_back(std::move(waiting));
   return 0;
 }
 
 int RaftPort::get_snapshot(raft_io_snapshot_get* request, raft_io_snapshot_get_cb done) {
-  waiting_.push_back({{}, [this, request, done](int status) {
+  pending_.push_back({{}, [this, request, done](int status) {
                         raft_snapshot* out = nullptr;
                         raft_term term;
                         raft_id vote;
@@ -414,43 +414,43 @@
 
 void RaftPort::cancel_all() {
   failed_ = true;
-  while (!waiting_.empty()) {
-    auto waiting = std::move(waiting_);
-    waiting_.clear();
-    for (Waiting& w : waiting)
+  while (!pending_.empty()) {
+    auto waiting = std::move(pending_);
+    pending_.clear();
+    for (PendingOps& w : waiting)
       if (w.done) w.done(RAFT_CANCELED);
   }
 }
 
-bool RaftPort::pump() {
-  while (!waiting_.empty() && !failed_) {
-    auto waiting = std::move(waiting_);
-    waiting_.clear();
+bool RaftPort::flush() {
+  while (!pending_.empty() && !failed_) {
+    auto waiting = std::move(pending_);
+    pending_.clear();
     std::vector<Op> ops;
-    for (Waiting& w : waiting)
+    for (PendingOps& w : waiting)
       ops.insert(ops.end(), std::make_move_iterator(w.ops.begin()),
                  std::make_move_iterator(w.ops.end()));
     bool early = mutant(Mutant::kAcknowledgeBeforeSync);
     if (early)
-      held_.insert(held_.end(), ops.begin(), ops.end());
+      delayed_.insert(delayed_.end(), ops.begin(), ops.end());
     else
       write(ops);  // one sync for all that has come together
     if (failed_) {
       // Raft hears of it when it is closed.
-      waiting_.insert(waiting_.begin(), std::make_move_iterator(waiting.begin()),
+      pending_.insert(pending_.begin(), std::make_move_iterator(waiting.begin()),
                       std::make_move_iterator(waiting.end()));
       break;
     }
-    for (Waiting& w : waiting)
+    for (PendingOps& w : waiting)
       if (w.done) w.done(0);
   }
   return !failed_;
 }
 
 void RaftPort::tick() {
-  if (mutant(Mutant::kAcknowledgeBeforeSync) && !held_.empty() && outside_.random() % 64 == 0) {
-    auto ops = std::move(held_);
-    held_.clear();
+  if (mutant(Mutant::kAcknowledgeBeforeSync) && !delayed_.empty() && env_.random() % 64 == 0) {
+    auto ops = std::move(delayed_);
+    delayed_.clear();
     write(ops);
   }
   if (tick_) tick_(&io_);
@@ -470,11 +470,11 @@
     const auto& v = message.request_vote;
     if (LogPosition{0, v.last_log_term, v.last_log_index}.log_before(floor_)) return;
   }
-  pump();
-  if (stale(message)) return;
+  flush();
+  if (strip_snapshotted(message)) return;
   if (message.type == RAFT_IO_APPEND_ENTRIES && !failed_) {
     std::uint64_t at = conflict(message);
-    if (at != 0 && at <= outside_.members_index()) return drop_members(at, message);
+    if (at != 0 && at <= env_.members_index()) return replace_configuration_entry(at, message);
   }
   receive_(&io_, &message);
 }
@@ -482,7 +482,7 @@
 /// Whether a message tells only of what a snapshot here has replaced. libraft 0.15 takes such
 /// entries for new ones and puts them behind its log, and installs such a snapshot over a newer
 /// one. What an append has beyond that is kept, from an entry on that is known here.
-bool RaftPort::stale(raft_message& message) {
+bool RaftPort::strip_snapshotted(raft_message& message) {
   std::uint64_t covered = image_.snapshot ? image_.snapshot->index : 0;
   if (message.type == RAFT_IO_INSTALL_SNAPSHOT) {
     auto& s = message.install_snapshot;
@@ -511,7 +511,7 @@
 /// The first entry on the disk that the message's would replace; 0 where there is none.
 std::uint64_t RaftPort::conflict(const raft_message& message) const {
   const auto& a = message.append_entries;
-  if (a.term < mark_.term || image_.log.empty()) return 0;
+  if (a.term < position_.term || image_.log.empty()) return 0;
   std::uint64_t first = image_.log.front().index;
   auto term_at = [&](std::uint64_t index) {
     return index < first || index - first >= image_.log.size() ? 0 : image_.log[index - first].term;
@@ -525,12 +525,12 @@
   return 0;
 }
 
-void RaftPort::drop_members(std::uint64_t from, const raft_message& message) {
+void RaftPort::replace_configuration_entry(std::uint64_t from, const raft_message& message) {
   const auto& a = message.append_entries;
   // With what comes in its place, all at once: the end of a log never goes back.
   std::vector<Op> ops;
-  if (a.term > mark_.term) ops.push_back(Op::count(Op::Kind::kTerm, a.term));
-  ops.push_back(Op::count(Op::Kind::kTruncate, from));
+  if (a.term > position_.term) ops.push_back(Op::with_number(Op::Kind::kTerm, a.term));
+  ops.push_back(Op::with_number(Op::Kind::kTruncate, from));
   for (unsigned i = 0; i < a.n_entries; ++i) {
     std::uint64_t index = a.prev_log_index + 1 + i;
     if (index < from) continue;
@@ -539,7 +539,7 @@
   }
   raft_free(a.entries[0].batch);
   raft_free(a.entries);
-  again_ = write(ops);
+  reopen_needed_ = write(ops);
   failed_ = true;
 }
 
--- a/src/daemon/ledger/raft_port.hpp
+++ b/src/daemon/ledger/raft_port.hpp
@@ -45,7 +45,7 @@
   };
 
   /// `image` is what the storage holds. All that is given outlives the port.
-  RaftPort(Storage& storage, Image&& image, const LogPosition& floor, Environment outside);
+  RaftPort(Storage& storage, Image&& image, const LogPosition& floor, Environment env);
 
   raft_io* io() { return &io_; }
   void tick();
@@ -56,16 +56,16 @@
   void receive(std::uint64_t from, const std::string& address, const Json& message);
   /// Writes what is waiting and tells raft, until nothing waits. False once the storage has failed:
   /// then nothing more is done, and the raft that uses this is to be closed.
-  bool pump();
+  bool flush();
   /// Nothing is wrong with the disk, but raft is to be opened anew from it; see receive().
-  bool again() const { return again_; }
+  bool reopen_needed() const { return reopen_needed_; }
   /// Votes are given by this log alone from now on.
-  void release_floor() { floor_ = {}; }
+  void clear_floor() { floor_ = {}; }
   /// What is on the disk.
-  const LogPosition& log_position() const { return mark_; }
+  const LogPosition& log_position() const { return position_; }
 
  private:
-  struct Waiting {
+  struct PendingOps {
     std::vector<Op> ops;
     std::function<void(int status)> done;
   };
@@ -78,24 +78,24 @@
   int put_snapshot(unsigned trailing, raft_io_snapshot_put* request, const raft_snapshot& snapshot,
                    raft_io_snapshot_put_cb done);
   int get_snapshot(raft_io_snapshot_get* request, raft_io_snapshot_get_cb done);
-  int now(std::vector<Op>&& ops);
+  int commit_now(std::vector<Op>&& ops);
   bool write(const std::vector<Op>& ops);
   void cancel_all();
 
   Storage& storage_;
-  bool stale(raft_message& message);
+  bool strip_snapshotted(raft_message& message);
   std::uint64_t conflict(const raft_message& message) const;
-  void drop_members(std::uint64_t from, const raft_message& message);
+  void replace_configuration_entry(std::uint64_t from, const raft_message& message);
   Image image_;  // its log without the entries' bytes, as it is on the disk
-  Environment outside_;
-  LogPosition mark_, floor_;
+  Environment env_;
+  LogPosition position_, floor_;
   raft_io io_{};
   raft_io_tick_cb tick_ = nullptr;
   raft_io_recv_cb receive_ = nullptr;
-  std::vector<Waiting> waiting_;
-  std::vector<Op> held_;  // of a planted fault alone
+  std::vector<PendingOps> pending_;
+  std::vector<Op> delayed_;  // of a planted fault alone
   std::uint64_t next_index_ = 1;
-  bool failed_ = false, again_ = false;
+  bool failed_ = false, reopen_needed_ = false;
 };
 
 }  // namespace violetusher::ledger
--- a/src/daemon/ledger/rescue.cpp
+++ b/src/daemon/ledger/rescue.cpp
@@ -35,7 +35,7 @@
                                   std::string& error) {
   State state;
   LogPosition end;
-  if (!image.meta.keeper || image.meta.group == 0) {
+  if (!image.meta.voter || image.meta.group == 0) {
     error = "no keeper's";
     return {};
   }
@@ -57,8 +57,8 @@
   Snapshot snapshot{end.last_index + 1, image.term + 1, end.last_index + 1,
                     write_members({{identity, raft_address(name, identity), RAFT_VOTER}}),
                     state.snapshot()};
-  rescue.ops = {Op::count(Op::Kind::kTruncate, 0), Op::put(snapshot),
-                Op::count(Op::Kind::kTerm, image.term + 1), Op::of(meta),
+  rescue.ops = {Op::with_number(Op::Kind::kTruncate, 0), Op::put(snapshot),
+                Op::with_number(Op::Kind::kTerm, image.term + 1), Op::of(meta),
                 Op::view(state.snapshot())};
   rescue.report = {
       {"epoch", meta.epoch},
@@ -83,12 +83,12 @@
       {"group", std::to_string(image.meta.group)},
       {"epoch", image.meta.epoch},
       {"starts", image.meta.boot},
-      {"keeper", image.meta.keeper},
+      {"keeper", image.meta.voter},
       {"term", image.term},
       {"log",
        {{"entries", image.log.size()}, {"last", end.last_index}, {"last_term", end.last_term}}},
       {"members", members}};
-  if (image.meta.keeper && whole)
+  if (image.meta.voter && whole)
     out["state"] = {{"position", state.position().at}, {"values", state.values().size()}};
   if (!image.view.empty() && shown.restore(image.view))
     out["shown"] = {{"position", shown.position().at},
--- a/src/daemon/ledger/rollout_file.cpp
+++ b/src/daemon/ledger/rollout_file.cpp
@@ -16,9 +16,9 @@
 namespace fs = std::filesystem;
 
 /// Whole and on the disk under its name, or not there. Why not; empty where it is.
-std::string write_whole(const std::string& path, const std::string& text) {
-  std::string half = path + ".half";
-  net::Fd fd(::open(half.c_str(), O_WRONLY | O_CREAT | O_TRUNC | O_CLOEXEC, 0644));
+std::string write_atomically(const std::string& path, const std::string& text) {
+  std::string temporary = path + ".half";
+  net::Fd fd(::open(temporary.c_str(), O_WRONLY | O_CREAT | O_TRUNC | O_CLOEXEC, 0644));
   bool good = static_cast<bool>(fd);
   for (std::size_t at = 0; good && at < text.size();) {
     ssize_t put = net::retry_interrupted(
@@ -26,9 +26,9 @@
     good = put > 0;
     if (good) at += static_cast<std::size_t>(put);
   }
-  good = good && ::fsync(fd.get()) == 0 && ::rename(half.c_str(), path.c_str()) == 0;
+  good = good && ::fsync(fd.get()) == 0 && ::rename(temporary.c_str(), path.c_str()) == 0;
   std::string why = good ? "" : path + ": " + std::strerror(errno);
-  if (!good) ::unlink(half.c_str());
+  if (!good) ::unlink(temporary.c_str());
   return why;
 }
 
@@ -60,13 +60,13 @@
   std::string own_why = net::read_regular_file(path_ + ".own", own, &own_status);
   if (own_status.error == ENOENT) {
     // The first roll-out that this file sees. What it holds is the router's own.
-    why = write_whole(path_ + ".own", there);
+    why = write_atomically(path_ + ".own", there);
     own = there;
   } else if (!own_status.done()) {
     return path_ + ".own: " + own_why;
   }
-  if (why.empty()) why = write_whole(path_ + ".before", there);
-  if (why.empty()) why = write_whole(staged(), text ? *text : own);
+  if (why.empty()) why = write_atomically(path_ + ".before", there);
+  if (why.empty()) why = write_atomically(staged(), text ? *text : own);
   if (why.empty()) sync_folder(path_);
   return why;
 }
@@ -75,11 +75,11 @@
 
 bool RolloutFile::undo() {
   bool done = ::rename((path_ + ".before").c_str(), path_.c_str()) == 0;
-  undo_owed_ = !done && errno != ENOENT;
+  undo_pending_ = !done && errno != ENOENT;
   return done;
 }
 
-void RolloutFile::settle(const core::ledger::Text& text) {
+void RolloutFile::finish(const core::ledger::Text& text) {
   sync_folder(path_);
   ::unlink((path_ + ".before").c_str());
   // On its own again it is the router's to change by hand.
--- a/src/daemon/ledger/rollout_file.hpp
+++ b/src/daemon/ledger/rollout_file.hpp
@@ -25,16 +25,16 @@
   std::string stage(const core::ledger::Text& text);
   /// Puts the staged text in the file's place; undo() puts back what was there.
   bool swap();
-  /// Where it fails, undo_owed() until it does not.
+  /// Where it fails, undo_pending() until it does not.
   bool undo();
-  bool undo_owed() const { return undo_owed_; }
+  bool undo_pending() const { return undo_pending_; }
   /// After a swap that stands, on the ledger's thread: all of it is on the disk, and what is no
   /// longer needed is gone.
-  void settle(const core::ledger::Text& text);
+  void finish(const core::ledger::Text& text);
 
  private:
   std::string path_;
-  bool undo_owed_ = false;
+  bool undo_pending_ = false;
 };
 
 }  // namespace violetusher::ledger
--- a/src/daemon/ledger/rollouts.hpp
+++ b/src/daemon/ledger/rollouts.hpp
@@ -18,44 +18,44 @@
 class Rollouts {
  public:
   /// Why the router can't act on what is staged, empty where it now does.
-  using Tried = std::function<void(std::string why)>;
+  using Applied = std::function<void(std::string why)>;
   struct Environment {
     std::function<core::ledger::Micros()> now;
     std::function<std::uint64_t()> random;
     /// Whether what the ledger says is known to be recent: on an old word nothing new is begun.
     std::function<bool()> recent;
     /// Asks the router to act on what is staged; `tried` comes later, on this thread.
-    std::function<void(RolloutFile& file, Tried tried)> apply_staged;
+    std::function<void(RolloutFile& file, Applied applied)> apply_staged;
     std::function<void(core::ledger::Json report)> report;
     std::function<void(const std::string& event, const std::string& text)> log_event;
   };
 
   /// `names`: of all routers, `name` among them.
   Rollouts(const std::map<std::string, core::config::Rollout>& files, std::string name,
-           std::vector<std::string> names, Environment outside);
+           std::vector<std::string> names, Environment env);
 
   void on_view(const core::ledger::View& view);
   void tick();
   /// Somebody may have changed the files.
-  void look();
+  void reread();
 
  private:
-  struct One {
+  struct Entry {
     RolloutFile file;
     core::ledger::Micros spread;
     core::ledger::Adopter adopter;
-    bool known = false;  // what the file holds was read
+    bool content_known = false;  // what the file holds was read
   };
-  void start(const std::string& name, One& one, const core::ledger::Adopter::Job& job);
-  void end(const std::string& name, One& one, const core::ledger::Text& text,
+  void start(const std::string& name, Entry& entry, const core::ledger::Adopter::Job& job);
+  void end(const std::string& name, Entry& entry, const core::ledger::Text& text,
            core::ledger::Adopter::End how, const std::string& why);
-  void look_at(One& one);
+  void reread_file(Entry& entry);
   void report();
 
-  std::map<std::string, One> files_;
+  std::map<std::string, Entry> files_;
   std::string name_;
   std::vector<std::string> names_;
-  Environment outside_;
+  Environment env_;
 };
 
 }  // namespace violetusher::ledger
--- a/src/daemon/ledger/service.cpp
+++ b/src/daemon/ledger/service.cpp
@@ -14,10 +14,10 @@
 
 namespace {
 
-constexpr std::size_t kWitnesses = 2;  // where a trail is kept
-constexpr net::Micros kTick = 20'000;
-constexpr net::Micros kLook = 500'000;  // between two looks at what the router acts on
-constexpr char kOut[] = "out/";
+constexpr std::size_t kSummaryHolders = 2;  // where a trail is kept
+constexpr net::Micros kTickInterval = 20'000;
+constexpr net::Micros kVersionsInterval = 500'000;  // between two looks at what the router acts on
+constexpr char kBanPrefix[] = "out/";
 
 std::map<std::string, std::string> addresses(const std::map<std::string, core::config::Peer>& peers,
                                              const std::string& name) {
@@ -49,7 +49,7 @@
  public:
   Environment(Service& service, const core::config::Model& model)
       : Environment(service, model.ledgers.begin()->second, model.peers, model.rollouts) {
-    if (!model.audits.empty()) settings_.witnesses = kWitnesses;
+    if (!model.audits.empty()) settings_.summary_holders = kSummaryHolders;
   }
   Environment(Service& service, const core::config::Ledger& settings,
               const std::map<std::string, core::config::Peer>& peers,
@@ -75,9 +75,9 @@
 
   void start() {
     io_.update_time();
-    rollouts_.look();
+    rollouts_.reread();
     node_ = std::make_unique<Node>(storage_, settings_, *this);
-    rollouts_.look();
+    rollouts_.reread();
     tick();
   }
   net::SystemIo& io() { return io_; }
@@ -93,9 +93,9 @@
     rollouts_.on_view(view);
     std::set<std::string> out;
     const auto& values = view.state().values();
-    for (auto it = values.lower_bound(std::string_view(kOut));
-         it != values.end() && it->first.rfind(kOut, 0) == 0; ++it)
-      out.insert(it->first.substr(sizeof kOut - 1));
+    for (auto it = values.lower_bound(std::string_view(kBanPrefix));
+         it != values.end() && it->first.rfind(kBanPrefix, 0) == 0; ++it)
+      out.insert(it->first.substr(sizeof kBanPrefix - 1));
     if (out == out_) return;
     out_ = out;
     service_.to_router_.post(
@@ -108,40 +108,40 @@
 
  private:
   void tick() {
-    tick_alarm_->set(kTick);
+    tick_alarm_->set(kTickInterval);
     node_->tick();
     rollouts_.tick();
-    if (io_.now() < next_look_) return;
-    next_look_ = io_.now() + kLook;
+    if (io_.now() < next_versions_at_) return;
+    next_versions_at_ = io_.now() + kVersionsInterval;
     service_.to_router_.post([this] {
       std::string trail = service_.handler_.trail ? service_.handler_.trail() : "";
       service_.to_ledger_->post([this, acts = service_.handler_.versions(), trail] {
         if (!node_) return;
-        node_->tell("acts", acts);
-        if (!trail.empty()) node_->tell("trail", trail);
+        node_->set_status_field("acts", acts);
+        if (!trail.empty()) node_->set_status_field("trail", trail);
       });
     });
   }
   std::vector<std::string> names() const {
     std::vector<std::string> all{settings_.name};
-    for (const auto& [peer, hall] : settings_.peers) all.push_back(peer);
+    for (const auto& [peer, zone] : settings_.peers) all.push_back(peer);
     return all;
   }
   Rollouts::Environment rollouts_outside() {
     return {[this] { return io_.now(); },
             [this] { return random_(); },
             [this] { return node_->recent(); },
-            [this](RolloutFile& file, Rollouts::Tried tried) {
-              service_.to_router_.post([this, &file, tried = std::move(tried)] {
+            [this](RolloutFile& file, Rollouts::Applied applied) {
+              service_.to_router_.post([this, &file, applied = std::move(applied)] {
                 std::string why = service_.handler_.apply_staged(file);
-                service_.to_ledger_->post([this, tried, why] {
+                service_.to_ledger_->post([this, applied, why] {
                   io_.update_time();
-                  tried(why);
+                  applied(why);
                 });
               });
             },
             [this](Json report) {
-              if (node_) node_->tell("rollouts", std::move(report));
+              if (node_) node_->set_status_field("rollouts", std::move(report));
             },
             [this](const std::string& event, const std::string& text) { log_event(event, text); }};
   }
@@ -156,7 +156,7 @@
   std::unique_ptr<net::Alarm> tick_alarm_;
   std::unique_ptr<Node> node_;
   std::set<std::string> out_;
-  net::Micros next_look_ = 0;
+  net::Micros next_versions_at_ = 0;
 };
 
 Service::Service(event_base* base, const core::config::Model& model, const std::string& name,
@@ -164,7 +164,7 @@
     : handler_(std::move(handler)), name_(name), to_router_(base), base_(event_base_new()) {
   if (!base_) throw std::runtime_error("no event base");
   to_ledger_ = std::make_unique<net::LoopTaskQueue>(base_.get());
-  outside_ = std::make_unique<Environment>(*this, model);
+  env_ = std::make_unique<Environment>(*this, model);
   // Signals are the router's business.
   sigset_t all, before;
   sigfillset(&all);
@@ -179,36 +179,36 @@
 }
 
 void Service::run() {
-  outside_->start();
-  while (!stopping_) outside_->io().run_once();
-  outside_->end();
+  env_->start();
+  while (!stopping_) env_->io().run_once();
+  env_->end();
 }
 
 void Service::set_banned(const std::string& id, bool out, std::function<void(std::string)> done) {
   to_ledger_->post([this, id, out, done = std::move(done)] {
-    outside_->io().update_time();
+    env_->io().update_time();
     Call call;
     call.kind = out ? Call::Kind::kPut : Call::Kind::kErase;
-    call.name = kOut + id;
+    call.name = kBanPrefix + id;
     call.text = "out";
     call.by = "operator at " + name_;
-    outside_->node().call(
+    env_->node().call(
         std::move(call), [this, done](std::optional<Outcome> outcome, const std::string& why) {
-          std::string told = !outcome ? why
-                             : outcome->status == Outcome::Status::kDone
-                                 ? ""
-                                 : std::string(core::ledger::name_of(outcome->status));
-          to_router_.post([done, told] { done(told); });
+          std::string error = !outcome ? why
+                              : outcome->status == Outcome::Status::kDone
+                                  ? ""
+                                  : std::string(core::ledger::name_of(outcome->status));
+          to_router_.post([done, error] { done(error); });
         });
   });
 }
 
 void Service::transfer_leadership() {
-  to_ledger_->post([this] { outside_->node().transfer_leadership(); });
+  to_ledger_->post([this] { env_->node().transfer_leadership(); });
 }
 
 void Service::reread_rollout_files() {
-  to_ledger_->post([this] { outside_->rollouts().look(); });
+  to_ledger_->post([this] { env_->rollouts().reread(); });
 }
 
 }  // namespace violetusher::ledger
--- a/src/daemon/ledger/service.hpp
+++ b/src/daemon/ledger/service.hpp
@@ -54,7 +54,7 @@
   net::LoopTaskQueue to_router_;
   net::EventBasePtr base_;
   std::unique_ptr<net::LoopTaskQueue> to_ledger_;
-  std::unique_ptr<Environment> outside_;
+  std::unique_ptr<Environment> env_;
   bool stopping_ = false;  // of the ledger's thread
   std::thread thread_;
 };
--- a/src/daemon/ledger/sqlite_storage.cpp
+++ b/src/daemon/ledger/sqlite_storage.cpp
@@ -21,8 +21,8 @@
 using core::ledger::digest;
 using core::ledger::Json;
 
-constexpr int kBusyMs = 2000;  // another process of this router may still be closing
-constexpr char kFile[] = "/ledger.db";
+constexpr int kBusyTimeoutMs = 2000;  // another process of this router may still be closing
+constexpr char kDatabaseFile[] = "/ledger.db";
 
 std::int64_t sum_of(std::string_view name, std::string_view bytes) {
   return static_cast<std::int64_t>(digest(bytes, digest(name)));
@@ -43,7 +43,7 @@
 }
 
 Json json(const Meta& m) {
-  return Json::array({m.identity, m.group, m.epoch, m.boot, m.keeper, binary(m.fingerprint)});
+  return Json::array({m.identity, m.group, m.epoch, m.boot, m.voter, binary(m.fingerprint)});
 }
 
 Json json(const Snapshot& s) {
@@ -68,25 +68,25 @@
 
 }  // namespace
 
-void SqliteStorage::Close::operator()(sqlite3* db) const { sqlite3_close_v2(db); }
-void SqliteStorage::Close::operator()(sqlite3_stmt* s) const { sqlite3_finalize(s); }
+void SqliteStorage::Closer::operator()(sqlite3* db) const { sqlite3_close_v2(db); }
+void SqliteStorage::Closer::operator()(sqlite3_stmt* s) const { sqlite3_finalize(s); }
 
 SqliteStorage::SqliteStorage(std::string folder, bool read_only)
     : folder_(std::move(folder)), read_only_(read_only) {}
 SqliteStorage::~SqliteStorage() = default;
 
-bool SqliteStorage::fail() {
+bool SqliteStorage::record_error() {
   error_ = db_ ? sqlite3_errmsg(db_.get()) : "out of memory";
   return false;
 }
 
-bool SqliteStorage::run(const char* sql) {
-  return sqlite3_exec(db_.get(), sql, nullptr, nullptr, nullptr) == SQLITE_OK || fail();
+bool SqliteStorage::execute(const char* sql) {
+  return sqlite3_exec(db_.get(), sql, nullptr, nullptr, nullptr) == SQLITE_OK || record_error();
 }
 
 SqliteStorage::Statement SqliteStorage::prepare(const char* sql) {
   sqlite3_stmt* statement = nullptr;
-  if (sqlite3_prepare_v2(db_.get(), sql, -1, &statement, nullptr) != SQLITE_OK) fail();
+  if (sqlite3_prepare_v2(db_.get(), sql, -1, &statement, nullptr) != SQLITE_OK) record_error();
   return Statement(statement);
 }
 
@@ -94,26 +94,28 @@
   std::error_code error;
   if (!read_only_) fs::create_directories(folder_, error);
   sqlite3* db = nullptr;
-  std::string path = folder_ + kFile;
+  std::string path = folder_ + kDatabaseFile;
   int flags = read_only_ ? SQLITE_OPEN_READONLY : SQLITE_OPEN_READWRITE | SQLITE_OPEN_CREATE;
   int opened = sqlite3_open_v2(path.c_str(), &db, flags, nullptr);
   db_.reset(db);
-  if (opened != SQLITE_OK) return fail();
-  sqlite3_busy_timeout(db, kBusyMs);
+  if (opened != SQLITE_OK) return record_error();
+  sqlite3_busy_timeout(db, kBusyTimeoutMs);
   if (read_only_) return true;
   // Nobody else opens it while this process lives. FULL: the log ahead is synced at each commit.
   // Nothing else grows: the log ahead is put into the file at a thousand pages.
-  return run("PRAGMA locking_mode=EXCLUSIVE") && run("PRAGMA journal_mode=WAL") &&
-         run("PRAGMA synchronous=FULL") && run("PRAGMA journal_size_limit=4194304") &&
-         run("CREATE TABLE IF NOT EXISTS log (place INTEGER PRIMARY KEY, term INTEGER NOT NULL,"
+  return execute("PRAGMA locking_mode=EXCLUSIVE") && execute("PRAGMA journal_mode=WAL") &&
+         execute("PRAGMA synchronous=FULL") && execute("PRAGMA journal_size_limit=4194304") &&
+         execute(
+             "CREATE TABLE IF NOT EXISTS log (place INTEGER PRIMARY KEY, term INTEGER NOT NULL,"
              " type INTEGER NOT NULL, bytes BLOB NOT NULL, sum INTEGER NOT NULL) STRICT") &&
-         run("CREATE TABLE IF NOT EXISTS held (name TEXT PRIMARY KEY, bytes BLOB NOT NULL,"
+         execute(
+             "CREATE TABLE IF NOT EXISTS held (name TEXT PRIMARY KEY, bytes BLOB NOT NULL,"
              " sum INTEGER NOT NULL) STRICT");
 }
 
 /// Of the call that has just failed. An error of the disk says nothing about what is on it: whoever
 /// put the files aside for one would lose its promises for a cable.
-LoadResult SqliteStorage::why() const {
+LoadResult SqliteStorage::classify_error() const {
   switch (db_ ? sqlite3_errcode(db_.get()) & 0xff : SQLITE_NOMEM) {
     case SQLITE_CORRUPT:
     case SQLITE_NOTADB:
@@ -136,7 +138,7 @@
     return LoadResult::kCorrupt;
   };
   auto failed = [&] {
-    LoadResult how = why();
+    LoadResult how = classify_error();
     bad(error_);
     return how;
   };
@@ -155,7 +157,7 @@
       return bad("'" + name + "': " + e.what());
     }
   }
-  if (step != SQLITE_DONE) return fail(), failed();
+  if (step != SQLITE_DONE) return record_error(), failed();
   Statement log = prepare("SELECT place, term, type, bytes, sum FROM log ORDER BY place");
   if (!log) return failed();
   while ((step = sqlite3_step(log.get())) == SQLITE_ROW) {
@@ -168,7 +170,7 @@
       return bad("log entry " + std::to_string(e.index) + " is not as it was written");
     image.log.push_back(std::move(e));
   }
-  if (step != SQLITE_DONE) return fail(), failed();
+  if (step != SQLITE_DONE) return record_error(), failed();
   std::string flaw = image_error(image);
   return flaw.empty() ? LoadResult::kOk : bad(flaw);
 }
@@ -179,7 +181,7 @@
   sqlite3_bind_text(s.get(), 1, name.data(), static_cast<int>(name.size()), SQLITE_TRANSIENT);
   bind_blob(s.get(), 2, bytes);
   sqlite3_bind_int64(s.get(), 3, sum_of(name, bytes));
-  return sqlite3_step(s.get()) == SQLITE_DONE || fail();
+  return sqlite3_step(s.get()) == SQLITE_DONE || record_error();
 }
 
 bool SqliteStorage::write(const Op& op) {
@@ -187,7 +189,7 @@
     Statement s = prepare(sql);
     if (!s) return false;
     sqlite3_bind_int64(s.get(), 1, static_cast<std::int64_t>(op.number));
-    return sqlite3_step(s.get()) == SQLITE_DONE || fail();
+    return sqlite3_step(s.get()) == SQLITE_DONE || record_error();
   };
   switch (op.kind) {
     case Op::Kind::kMeta:
@@ -213,7 +215,7 @@
       sqlite3_bind_int(s.get(), 3, op.entry.type);
       bind_blob(s.get(), 4, op.entry.bytes);
       sqlite3_bind_int64(s.get(), 5, sum_of(sum_name(op.entry), op.entry.bytes));
-      return sqlite3_step(s.get()) == SQLITE_DONE || fail();
+      return sqlite3_step(s.get()) == SQLITE_DONE || record_error();
     }
   }
   return false;
@@ -222,15 +224,15 @@
 bool SqliteStorage::commit(const std::vector<Op>& ops) {
   if (!db_ || read_only_) return false;
   auto from = std::chrono::steady_clock::now();
-  bool good = run("BEGIN IMMEDIATE");
+  bool good = execute("BEGIN IMMEDIATE");
   for (const Op& op : ops) good = good && write(op);
-  good = good && run("COMMIT");
+  good = good && execute("COMMIT");
   if (!good) {
     std::string why = error_;
-    run("ROLLBACK");
+    execute("ROLLBACK");
     error_ = why;
   }
-  took_ =
+  last_commit_us_ =
       std::chrono::duration_cast<std::chrono::microseconds>(std::chrono::steady_clock::now() - from)
           .count();
   return good;
@@ -239,7 +241,7 @@
 std::string SqliteStorage::fingerprint() {
   // A file that was put back from a copy is another file, made at another time.
   struct statx info {};
-  std::string path = folder_ + kFile;
+  std::string path = folder_ + kDatabaseFile;
   int result = net::retry_interrupted(
       [&] { return ::statx(AT_FDCWD, path.c_str(), 0, STATX_INO | STATX_BTIME, &info); });
   if (result != 0) return {};
--- a/src/daemon/ledger/sqlite_storage.hpp
+++ b/src/daemon/ledger/sqlite_storage.hpp
@@ -22,30 +22,30 @@
 
   LoadResult load(Image& image, std::string& error) override;
   bool commit(const std::vector<Op>& ops) override;
-  std::int64_t last_commit_us() const override { return took_; }
+  std::int64_t last_commit_us() const override { return last_commit_us_; }
   std::string fingerprint() override;
   bool quarantine() override;
   /// Why the last call failed.
   const std::string& error() const { return error_; }
 
  private:
-  struct Close {
+  struct Closer {
     void operator()(sqlite3* db) const;
     void operator()(sqlite3_stmt* statement) const;
   };
-  using Statement = std::unique_ptr<sqlite3_stmt, Close>;
+  using Statement = std::unique_ptr<sqlite3_stmt, Closer>;
   bool open();
-  bool run(const char* sql);
+  bool execute(const char* sql);
   Statement prepare(const char* sql);
   bool put(std::string_view name, const std::string& bytes);
   bool write(const Op& op);
-  bool fail();
-  LoadResult why() const;
+  bool record_error();
+  LoadResult classify_error() const;
 
   std::string folder_, error_;
   bool read_only_;
-  std::int64_t took_ = 0;
-  std::unique_ptr<sqlite3, Close> db_;
+  std::int64_t last_commit_us_ = 0;
+  std::unique_ptr<sqlite3, Closer> db_;
 };
 
 }  // namespace violetusher::ledger
--- a/src/daemon/ledger/storage.cpp
+++ b/src/daemon/ledger/storage.cpp
@@ -10,7 +10,7 @@
   return op;
 }
 
-Op Op::count(Kind kind, std::uint64_t number) {
+Op Op::with_number(Kind kind, std::uint64_t number) {
   Op op;
   op.kind = kind;
   op.number = number;
@@ -81,7 +81,7 @@
   std::uint64_t covered = image.snapshot ? image.snapshot->index : 0;
   if (!image.log.empty() && (image.log.front().index == 0 || image.log.front().index > covered + 1))
     return "the log begins after its snapshot's end";
-  if (image.meta.keeper && image.meta.identity == 0) return "a keeper without an identity";
+  if (image.meta.voter && image.meta.identity == 0) return "a keeper without an identity";
   return "";
 }
 
--- a/src/daemon/ledger/storage.hpp
+++ b/src/daemon/ledger/storage.hpp
@@ -16,7 +16,7 @@
   std::uint64_t group = 0;     ///< 0: of no group yet
   std::uint64_t epoch = 0;     ///< raised by a rescue
   std::uint64_t boot = 0;      ///< starts so far
-  bool keeper = false;         ///< it has been asked to keep, and may have voted
+  bool voter = false;          ///< it has been asked to keep, and may have voted
   std::string fingerprint;     ///< of the files when they were made
   bool operator==(const Meta&) const = default;
 };
@@ -59,7 +59,7 @@
   std::string bytes;
 
   static Op of(Meta meta);
-  static Op count(Kind kind, std::uint64_t number);  ///< of the kinds that have a number
+  static Op with_number(Kind kind, std::uint64_t number);  ///< of the kinds that have a number
   static Op append(LogEntry entry);
   static Op put(Snapshot snapshot);
   static Op view(std::string state);
--- a/src/daemon/ledger/timed_storage.hpp
+++ b/src/daemon/ledger/timed_storage.hpp
@@ -8,14 +8,14 @@
 
 namespace violetusher::ledger {
 
-class Stopwatch final : public Storage {
+class TimedStorage final : public Storage {
  public:
-  explicit Stopwatch(Storage& disk) : disk_(disk) {}
+  explicit TimedStorage(Storage& disk) : disk_(disk) {}
 
   LoadResult load(Image& image, std::string& error) override { return disk_.load(image, error); }
   bool commit(const std::vector<Op>& ops) override {
     bool good = disk_.commit(ops);
-    mean_ += (disk_.last_commit_us() - mean_) / 8;
+    mean_commit_us_ += (disk_.last_commit_us() - mean_commit_us_) / 8;
     return good;
   }
   std::int64_t last_commit_us() const override { return disk_.last_commit_us(); }
@@ -23,11 +23,11 @@
   bool quarantine() override { return disk_.quarantine(); }
 
   /// Of a commit, in microseconds, over the last dozen or so.
-  std::int64_t mean() const { return mean_; }
+  std::int64_t mean_commit_us() const { return mean_commit_us_; }
 
  private:
   Storage& disk_;
-  std::int64_t mean_ = 0;
+  std::int64_t mean_commit_us_ = 0;
 };
 
 }  // namespace violetusher::ledger
