--- a/src/daemon/ledger/voter.cpp
+++ b/src/daemon/ledger/voter.cpp
@@ -11,17 +11,17 @@
 using core::ledger::mutant;
 using core::ledger::Mutant;
 
-constexpr Micros kMostTick = 100'000;  // from one tick to the next, of time that it was awake
+constexpr Micros kMaxTickGap = 100'000;  // from one tick to the next, of time that it was awake
 
-LogPosition mark_of(const Image& image) {
+LogPosition end_of_log(const Image& image) {
   LogPosition m{image.term, 0, 0};
   if (image.snapshot) m = {image.term, image.snapshot->term, image.snapshot->index};
   if (!image.log.empty()) m.raise({0, image.log.back().term, image.log.back().index});
   return m;
 }
 
-core::ledger::Probation::Voters voters_in(const Members& members) {
-  core::ledger::Probation::Voters out{members.index, {}};
+core::ledger::RejoinCheck::Voters voters_in(const Members& members) {
+  core::ledger::RejoinCheck::Voters out{members.index, {}};
   for (const RaftMember& m : members.list)
     if (m.role == RAFT_VOTER) out.identities.insert(m.identity);
   return out;
@@ -37,74 +37,75 @@
 
 struct Voter::Request {
   struct raft_apply apply {};
-  Voter* keeper = nullptr;
+  Voter* voter = nullptr;
   Done done;
 };
 
 struct Voter::Change {
   raft_change change{};
-  Voter* keeper = nullptr;
+  Voter* voter = nullptr;
 };
 
 Voter::Voter(Storage& storage, Image&& image, const std::string& name, const Timing& timing,
-             std::size_t wanted, std::size_t routers, RaftPort::Environment outside)
+             std::size_t target_voters, std::size_t routers, RaftPort::Environment env)
     : storage_(storage),
       image_(std::move(image)),
       name_(name),
       address_(raft_address(name, image_.meta.identity)),
-      pace_(timing),
-      outside_(std::move(outside)),
+      timing_(timing),
+      env_(std::move(env)),
       identity_(image_.meta.identity),
-      own_(mark_of(image_)),
-      first_members_(members_of(image_)),
-      probation_(identity_, own_, voters_in(first_members_), wanted, routers),
-      last_tick_(outside_.now()) {
-  view_.raise(image_.meta.epoch);
-  look();
+      initial_position_(end_of_log(image_)),
+      initial_members_(members_of(image_)),
+      rejoin_check_(identity_, initial_position_, voters_in(initial_members_), target_voters,
+                    routers),
+      last_tick_(env_.now()) {
+  view_.raise_epoch(image_.meta.epoch);
+  check_verdict();
 }
 
 Voter::~Voter() {
   if (port_) raft_close(&raft_, nullptr);
 }
 
-void Voter::heard(std::uint64_t from, const core::ledger::Probation::Answer& answer) {
-  if (stage_ != Stage::kAsking) return;
-  probation_.heard(from, answer);
-  look();
+void Voter::add_answer(std::uint64_t from, const core::ledger::RejoinCheck::Answer& answer) {
+  if (stage_ != Stage::kRejoinCheck) return;
+  rejoin_check_.add_answer(from, answer);
+  check_verdict();
 }
 
 void Voter::vouch() {
-  probation_.vouch();
-  look();
+  rejoin_check_.vouch();
+  check_verdict();
 }
 
-void Voter::look() {
-  if (stage_ != Stage::kAsking) return;
-  switch (probation_.verdict()) {
-    case core::ledger::Probation::Verdict::kWait:
+void Voter::check_verdict() {
+  if (stage_ != Stage::kRejoinCheck) return;
+  switch (rejoin_check_.verdict()) {
+    case core::ledger::RejoinCheck::Verdict::kWait:
       return;
-    case core::ledger::Probation::Verdict::kOldDisk:
-      stage_ = Stage::kOldDisk;
+    case core::ledger::RejoinCheck::Verdict::kStaleDisk:
+      stage_ = Stage::kStaleDisk;
       return;
-    case core::ledger::Probation::Verdict::kCleared:
-      stage_ = run() ? Stage::kRunning : Stage::kFailed;
+    case core::ledger::RejoinCheck::Verdict::kCleared:
+      stage_ = start_raft() ? Stage::kRunning : Stage::kFailed;
       return;
   }
 }
 
-bool Voter::run() {
-  const LogPosition& floor = probation_.floor();
+bool Voter::start_raft() {
+  const LogPosition& floor = rejoin_check_.floor();
   // It may have voted in any term up to the highest there is: in that one it does so no more.
   std::vector<Op> ops;
-  if (floor.term > image_.term) ops.push_back(Op::count(Op::Kind::kTerm, floor.term));
+  if (floor.term > image_.term) ops.push_back(Op::with_number(Op::Kind::kTerm, floor.term));
   if (floor.term > 0 && (floor.term > image_.term || image_.vote == 0) &&
-      probation_.answered() > 0 && !mutant(Mutant::kVoteForgotten))
-    ops.push_back(Op::count(Op::Kind::kVote, identity_));
+      rejoin_check_.answered() > 0 && !mutant(Mutant::kVoteForgotten))
+    ops.push_back(Op::with_number(Op::Kind::kVote, identity_));
   if (!ops.empty() && !storage_.commit(ops)) return false;
   apply_ops(image_, ops);
   std::uint64_t epoch = image_.meta.epoch;
-  outside_.members_index = [this] { return voters().index; };
-  port_ = std::make_unique<RaftPort>(storage_, std::move(image_), floor, outside_);
+  env_.members_index = [this] { return voters().index; };
+  port_ = std::make_unique<RaftPort>(storage_, std::move(image_), floor, env_);
   fsm_.version = 1;
   fsm_.data = this;
   fsm_.apply = [](raft_fsm* fsm, const raft_buffer* buf, void** result) {
@@ -132,45 +133,45 @@
     return false;
   }
   raft_.data = this;
-  raft_set_election_timeout(&raft_, static_cast<unsigned>(pace_.election / 1000));
-  raft_set_heartbeat_timeout(&raft_, static_cast<unsigned>(pace_.heartbeat / 1000));
-  raft_set_install_snapshot_timeout(&raft_, static_cast<unsigned>(4 * pace_.election / 1000));
-  raft_set_snapshot_threshold(&raft_, pace_.snapshot_entries);
-  raft_set_snapshot_trailing(&raft_, pace_.snapshot_trailing);
+  raft_set_election_timeout(&raft_, static_cast<unsigned>(timing_.election / 1000));
+  raft_set_heartbeat_timeout(&raft_, static_cast<unsigned>(timing_.heartbeat / 1000));
+  raft_set_install_snapshot_timeout(&raft_, static_cast<unsigned>(4 * timing_.election / 1000));
+  raft_set_snapshot_threshold(&raft_, timing_.snapshot_entries);
+  raft_set_snapshot_trailing(&raft_, timing_.snapshot_trailing);
   raft_set_pre_vote(&raft_, true);
   if (raft_start(&raft_) != 0) return false;
-  view_.raise(epoch);
-  settle();
-  return stage_ != Stage::kFailed && stage_ != Stage::kAgain;
+  view_.raise_epoch(epoch);
+  flush();
+  return stage_ != Stage::kFailed && stage_ != Stage::kReopen;
 }
 
-void Voter::settle() {
-  if (port_ && !port_->pump()) stage_ = port_->again() ? Stage::kAgain : Stage::kFailed;
+void Voter::flush() {
+  if (port_ && !port_->flush()) stage_ = port_->reopen_needed() ? Stage::kReopen : Stage::kFailed;
   // Raft has given up on something that it can't explain; its disk is as it was.
   if (stage_ == Stage::kRunning && raft_.state == RAFT_UNAVAILABLE) stage_ = Stage::kFailed;
 }
 
 void Voter::tick() {
   // Where the clock jumps, or the process was frozen, nobody had the time to tell it anything.
-  awake_ += std::clamp<Micros>(outside_.now() - last_tick_, 0, kMostTick);
-  last_tick_ = outside_.now();
-  bool trusted = awake_ > pace_.trust_after;
-  if (stage_ == Stage::kAsking && trusted) vouch();
+  running_time_ += std::clamp<Micros>(env_.now() - last_tick_, 0, kMaxTickGap);
+  last_tick_ = env_.now();
+  bool disk_trusted = running_time_ > timing_.trust_after;
+  if (stage_ == Stage::kRejoinCheck && disk_trusted) vouch();
   if (stage_ != Stage::kRunning) return;
   // The floor may have been set by entries that were never agreed on, of one that is gone with its
   // disk since: then nobody could ever come up to it.
-  if (trusted) port_->release_floor();
+  if (disk_trusted) port_->clear_floor();
   port_->tick();
-  settle();
-  if (is_leader()) heard_leader_ = outside_.now();
+  flush();
+  if (is_leader()) last_leader_contact_ = env_.now();
 }
 
 void Voter::receive(std::uint64_t from, const std::string& address, const Json& message) {
   if (stage_ != Stage::kRunning) return;
   port_->receive(from, address, message);
-  settle();
+  flush();
   if (raft_.state == RAFT_FOLLOWER && raft_.follower_state.current_leader.id == from)
-    heard_leader_ = outside_.now();
+    last_leader_contact_ = env_.now();
 }
 
 void Voter::submit(const Call& call, Done done) {
@@ -199,7 +200,7 @@
     std::unique_ptr<Request> r(request);
     r->done(std::nullopt);
   }
-  settle();
+  flush();
 }
 
 std::string Voter::leader() {
@@ -211,7 +212,7 @@
 }
 
 std::vector<RaftMember> Voter::members() const {
-  if (!port_) return first_members_.list;
+  if (!port_) return initial_members_.list;
   std::vector<RaftMember> members;
   for (unsigned i = 0; i < raft_.configuration.n; ++i) {
     const raft_server& s = raft_.configuration.servers[i];
@@ -220,8 +221,8 @@
   return members;
 }
 
-core::ledger::Probation::Voters Voter::voters() const {
-  if (!port_) return voters_in(first_members_);
+core::ledger::RejoinCheck::Voters Voter::voters() const {
+  if (!port_) return voters_in(initial_members_);
   std::uint64_t index = raft_.configuration_uncommitted_index;
   return voters_in({index ? index : raft_.configuration_index, members()});
 }
@@ -233,38 +234,39 @@
   });
 }
 
-void Voter::take_step(const core::ledger::Step& step) {
+void Voter::apply_change(const core::ledger::MembershipChange& membership_change) {
   if (!is_leader() || changing()) return;
   auto* change = new Change{{}, this};
   change->change.data = change;
   auto finish = [](raft_change* c, int) {
     std::unique_ptr<Change> done(static_cast<Change*>(c->data));
-    done->keeper->changing_ = false;
+    done->voter->changing_ = false;
   };
   changing_ = true;
   int status = 0;
-  using Kind = core::ledger::Step::Kind;
-  if (step.kind == Kind::kAdd)
-    status = raft_add(&raft_, &change->change, step.identity,
-                      raft_address(step.name, step.identity).c_str(), finish);
-  else if (step.kind == Kind::kPromote)
-    status = raft_assign(&raft_, &change->change, step.identity, RAFT_VOTER, finish);
+  using Kind = core::ledger::MembershipChange::Kind;
+  if (membership_change.kind == Kind::kAdd)
+    status =
+        raft_add(&raft_, &change->change, membership_change.identity,
+                 raft_address(membership_change.name, membership_change.identity).c_str(), finish);
+  else if (membership_change.kind == Kind::kPromote)
+    status = raft_assign(&raft_, &change->change, membership_change.identity, RAFT_VOTER, finish);
   else
-    status = raft_remove(&raft_, &change->change, step.identity, finish);
+    status = raft_remove(&raft_, &change->change, membership_change.identity, finish);
   if (status != 0) {
     delete change;
     changing_ = false;
   }
-  settle();
+  flush();
 }
 
-void Voter::hand_over(std::uint64_t to) {
+void Voter::transfer_leadership(std::uint64_t to) {
   if (!is_leader() || transferring_) return;
   transfer_.data = this;
   transferring_ = raft_transfer(&raft_, &transfer_, to, [](struct raft_transfer* t) {
                     static_cast<Voter*>(t->data)->transferring_ = false;
                   }) == 0;
-  settle();
+  flush();
 }
 
 }  // namespace violetusher::ledger
--- a/src/daemon/ledger/voter.hpp
+++ b/src/daemon/ledger/voter.hpp
@@ -36,24 +36,24 @@
 class Voter {
  public:
   enum class Stage {
-    kAsking,  ///< it does not yet know whether its disk is an old one
+    kRejoinCheck,  ///< it does not yet know whether its disk is an old one
     kRunning,
-    kOldDisk,  ///< it is: this identity must go
-    kFailed,   ///< the disk took or gave no more; to be opened anew after a while
-    kAgain,    ///< to be opened anew at once
+    kStaleDisk,  ///< it is: this identity must go
+    kFailed,     ///< the disk took or gave no more; to be opened anew after a while
+    kReopen,     ///< to be opened anew at once
   };
   /// Nothing where it could not be had: whether the call holds is then not known.
   using Done = std::function<void(std::optional<Outcome>)>;
 
   /// `wanted`: voters of the whole group; `routers`: the others of the fleet.
   Voter(Storage& storage, Image&& image, const std::string& name, const Timing& timing,
-        std::size_t wanted, std::size_t routers, RaftPort::Environment outside);
+        std::size_t target_voters, std::size_t routers, RaftPort::Environment env);
   ~Voter();
 
   Stage stage() const { return stage_; }
   std::uint64_t identity() const { return identity_; }
-  const core::ledger::Probation& probation() const { return probation_; }
-  void heard(std::uint64_t from, const core::ledger::Probation::Answer& answer);
+  const core::ledger::RejoinCheck& rejoin_check() const { return rejoin_check_; }
+  void add_answer(std::uint64_t from, const core::ledger::RejoinCheck::Answer& answer);
   void vouch();
 
   void tick();
@@ -64,43 +64,46 @@
   bool is_leader() const { return stage_ == Stage::kRunning && raft_.state == RAFT_LEADER; }
   std::string leader();  ///< its name; empty where none is known
   /// When it last heard from the leader of its term, or led itself; 0 = not yet.
-  Micros heard_leader() const { return heard_leader_; }
+  Micros last_leader_contact() const { return last_leader_contact_; }
   std::vector<RaftMember> members() const;
-  core::ledger::Probation::Voters voters() const;
+  core::ledger::RejoinCheck::Voters voters() const;
   bool votes() const;
   bool changing() const { return changing_ || raft_.configuration_uncommitted_index != 0; }
-  void take_step(const core::ledger::Step& step);
+  void apply_change(const core::ledger::MembershipChange& membership_change);
   /// Gives up leading, to another that votes; 0: to whichever is as far.
-  void hand_over(std::uint64_t to = 0);
+  void transfer_leadership(std::uint64_t to = 0);
 
   const View& view() const { return view_; }
-  const LogPosition& log_position() const { return port_ ? port_->log_position() : own_; }
+  const LogPosition& log_position() const {
+    return port_ ? port_->log_position() : initial_position_;
+  }
 
  private:
   struct Request;
   struct Change;
-  bool run();
-  void settle();
-  void look();
+  bool start_raft();
+  void flush();
+  void check_verdict();
 
   Storage& storage_;
   Image image_;  // until raft runs
   std::string name_, address_;
-  Timing pace_;
-  RaftPort::Environment outside_;
+  Timing timing_;
+  RaftPort::Environment env_;
   std::uint64_t identity_;
-  LogPosition own_;
-  Members first_members_;
-  core::ledger::Probation probation_;
-  Stage stage_ = Stage::kAsking;
-  Micros awake_ = 0, last_tick_;  // `awake_`: since its start, as it has lived through it
+  LogPosition initial_position_;
+  Members initial_members_;
+  core::ledger::RejoinCheck rejoin_check_;
+  Stage stage_ = Stage::kRejoinCheck;
+  Micros running_time_ = 0,
+         last_tick_;  // `running_time_`: since its start, as it has lived through it
   std::unique_ptr<RaftPort> port_;
   raft raft_{};
   raft_fsm fsm_{};
   struct raft_transfer transfer_ {};
   View view_;
   Outcome applied_;
-  Micros heard_leader_ = 0;
+  Micros last_leader_contact_ = 0;
   bool changing_ = false, transferring_ = false;
 };
 
--- a/tests/core/audit/history_test.cpp
+++ b/tests/core/audit/history_test.cpp
@@ -14,7 +14,7 @@
   explicit Router(const std::string& name)
       : account([this] { return versions; }, [this](std::string body) { write(body); }) {
     trail.router = name;
-    write(head_of(name, {}, "start"));
+    write(header_body(name, {}, "start"));
   }
   void write(const std::string& body) {
     if (!losing) trail.blocks.push_back({next, 0, Json::parse(body)});
@@ -78,7 +78,7 @@
   EXPECT_EQ(h.violations()[0].server, "a");
   EXPECT_EQ(h.violations()[0].count, 1u);
   EXPECT_EQ(h.violations()[0].from, 2000);
-  EXPECT_EQ(h.spans().back().refused.at("put"), 1u);
+  EXPECT_EQ(h.periods().back().refused.at("put"), 1u);
 }
 
 /// Changes that were lost must not make what came after look wrong, or right.
@@ -126,7 +126,7 @@
   History h;
   for (const Router* r : {&first, &second, &third}) h.add(r->trail);
   ASSERT_EQ(h.violations().size(), 1u);
-  EXPECT_EQ(h.violations()[0].kind, Violation::Kind::kTwoContents);
+  EXPECT_EQ(h.violations()[0].kind, Violation::Kind::kConflictingContent);
   EXPECT_EQ(h.violations()[0].router, "r3");
   auto arrivals = h.arrivals("list", "2");
   ASSERT_EQ(arrivals.size(), 3u);
@@ -145,7 +145,7 @@
   fast.account.changed(2000);
   acted.versions["list"] = "2";
   acted.account.changed(3000);
-  restarted.write(head_of("r3", {}, "start"));
+  restarted.write(header_body("r3", {}, "start"));
   ActivityRecorder fresh(
       [] {
         return ActivityRecorder::Versions{{"list", "2"}};
@@ -163,14 +163,14 @@
   std::map<std::string, Arrival> by;
   for (const Arrival& a : h.arrivals("list", "2")) by[a.router] = a;
   EXPECT_EQ(by["r1"].why, Arrival::Why::kFirst);
-  EXPECT_EQ(by["r2"].why, Arrival::Why::kActs);
+  EXPECT_EQ(by["r2"].why, Arrival::Why::kActedOnAnother);
   EXPECT_EQ(by["r2"].previous, "1");
   EXPECT_EQ(by["r3"].why, Arrival::Why::kDown);
   EXPECT_EQ(by["r3"].after, 2000);
   EXPECT_EQ(by["r4"].why, Arrival::Why::kUnknown);
   EXPECT_EQ(by["r5"].why, Arrival::Why::kDown);
   EXPECT_TRUE(by["r5"].never);
-  EXPECT_EQ(by["r6"].why, Arrival::Why::kActs);
+  EXPECT_EQ(by["r6"].why, Arrival::Why::kActedOnAnother);
   EXPECT_TRUE(by["r6"].never);
   EXPECT_EQ(h.periods_of("r3").size(), 2u);
 }
--- a/tests/core/audit/trail_test.cpp
+++ b/tests/core/audit/trail_test.cpp
@@ -20,9 +20,9 @@
   Written w;
   w.last = before;
   for (int k = 0; k <= blocks; ++k) {
-    std::string body =
-        k == 0 ? head_of(router, before, "start") : R"({"k":"did","n":)" + std::to_string(k) + "}";
-    w.lines.push_back(line_of(w.last, body));
+    std::string body = k == 0 ? header_body(router, before, "start")
+                              : R"({"k":"did","n":)" + std::to_string(k) + "}";
+    w.lines.push_back(append_block(w.last, body));
     w.bodies[w.last.number] = Json::parse(body).dump();
     w.text += w.lines.back();
   }
@@ -30,9 +30,9 @@
 }
 
 Trail read(const std::vector<std::string>& files) {
-  Reader reader;
-  for (std::size_t k = 0; k < files.size(); ++k) reader.file(std::to_string(k), files[k]);
-  return reader.take();
+  TrailReader reader;
+  for (std::size_t k = 0; k < files.size(); ++k) reader.add_file(std::to_string(k), files[k]);
+  return reader.finish();
 }
 
 /// Every block that is given out is one that was written, in order and once.
@@ -94,7 +94,7 @@
     Trail trail = read({text});
     EXPECT_EQ(trail.faults.empty(), whole) << size;
     expect_true(trail, w, std::to_string(size));
-    auto end = end_of(text);
+    auto end = last_position_in(text);
     if (!end) continue;
     Written next = written(2, *end);
     Trail both = read({text, next.text});
@@ -125,31 +125,31 @@
 /// was written anew with sums of its own.
 TEST(Trail, IsHeldAgainstWhatOthersHold) {
   Written w = written(6);
-  std::vector<TrailPosition> marks;
-  TrailPosition mark;
+  std::vector<TrailPosition> positions;
+  TrailPosition position;
   for (const auto& [number, body] : w.bodies) {
-    line_of(mark, body);
-    marks.push_back(mark);
+    append_block(position, body);
+    positions.push_back(position);
   }
   Trail whole = read({w.text}),
         cut = read({w.text.substr(0, w.text.size() - w.lines.back().size())});
   EXPECT_TRUE(cut.faults.empty());
-  for (const TrailPosition& m : marks) {
-    ASSERT_EQ(parse_position(text_of(m))->sum, m.sum);
+  for (const TrailPosition& m : positions) {
+    ASSERT_EQ(parse_position(format_position(m))->sum, m.sum);
     EXPECT_FALSE(compare_with_position(whole, m)) << m.number;
   }
-  ASSERT_TRUE(compare_with_position(cut, marks.back()));
-  EXPECT_EQ(compare_with_position(cut, marks.back())->kind, Fault::Kind::kCut);
+  ASSERT_TRUE(compare_with_position(cut, positions.back()));
+  EXPECT_EQ(compare_with_position(cut, positions.back())->kind, Fault::Kind::kTruncated);
   Written anew;
   for (const auto& [number, body] : w.bodies)
-    anew.text += line_of(anew.last, number == 4 ? R"({"k":"did","n":99})" : body);
+    anew.text += append_block(anew.last, number == 4 ? R"({"k":"did","n":99})" : body);
   Trail forged = read({anew.text});
   EXPECT_TRUE(forged.faults.empty());
-  EXPECT_FALSE(compare_with_position(forged, marks[2]));
-  ASSERT_TRUE(compare_with_position(forged, marks[5]));
-  EXPECT_EQ(compare_with_position(forged, marks[5])->kind, Fault::Kind::kRewritten);
+  EXPECT_FALSE(compare_with_position(forged, positions[2]));
+  ASSERT_TRUE(compare_with_position(forged, positions[5]));
+  EXPECT_EQ(compare_with_position(forged, positions[5])->kind, Fault::Kind::kRewritten);
   // The oldest files go; what is not there is not in doubt.
-  EXPECT_FALSE(compare_with_position(read({written(2, w.last).text}), marks[2]));
+  EXPECT_FALSE(compare_with_position(read({written(2, w.last).text}), positions[2]));
   for (const char* none : {"", ":", "1", "0:0000000000000000", "1:0", "x:0000000000000001",
                            "1:000000000000000G", "1:0000000000000001 "})
     EXPECT_FALSE(parse_position(none)) << none;
--- a/tests/core/audit/versions_test.cpp
+++ b/tests/core/audit/versions_test.cpp
@@ -15,7 +15,7 @@
   return {number, has, std::string(wants), refused ? "line 3" : "", refused};
 }
 
-std::string told(const Audit& a) {
+std::string summary_of(const Audit& a) {
   std::string out;
   for (const Straggler& s : a.stragglers)
     out += s.router + " " + std::string(name_of(s.cause)) + " " + s.kind + ";";
@@ -30,8 +30,8 @@
                    {"ledger", {1, "epoch", {}, "", false}},
                    {"file/operator", rolled(7, n == 1 ? "new" : "old", n == 1 ? "new" : "old")}}));
   Audit a = audit(fleet, kOld);
-  EXPECT_EQ(a.current, 3u) << told(a);
-  EXPECT_EQ(told(a), "") << "a roll-out at a third of the routers is no lateness";
+  EXPECT_EQ(a.current, 3u) << summary_of(a);
+  EXPECT_EQ(summary_of(a), "") << "a roll-out at a third of the routers is no lateness";
   ASSERT_EQ(a.distributions.size(), 3u);
   EXPECT_EQ(a.distributions[0].versions[0], (std::pair<std::string, std::size_t>{"7 of old", 2}));
 }
@@ -52,7 +52,7 @@
   silent.error = "connection refused";
   fleet.push_back(silent);
   Audit a = audit(fleet, kOld);
-  EXPECT_EQ(told(a),
+  EXPECT_EQ(summary_of(a),
             "r9 silent ;r5 cut-off file/a;r8 cut-off file/a;r4 disk file/a;r3 refused file/a;"
             "r6 behind file/a;r7 differs settings;");
   EXPECT_EQ(a.current, 2u);
@@ -60,7 +60,7 @@
   EXPECT_EQ(a.stragglers[3].expected, "new");
   EXPECT_EQ(a.stragglers[4].why, "line 3");
   fleet[3].disk_failed = false;
-  EXPECT_NE(told(audit(fleet, kOld)).find("r4 on-its-way file/a"), std::string::npos);
+  EXPECT_NE(summary_of(audit(fleet, kOld)).find("r4 on-its-way file/a"), std::string::npos);
 }
 
 TEST(Audit, TwoContentsUnderOneNumberAreAClash) {
@@ -68,7 +68,7 @@
   for (int n = 1; n <= 3; ++n)
     fleet.push_back(router(n, {{"list", {5, n == 2 ? "x" : "y", {}, "", false}}}));
   Audit a = audit(fleet, kOld);
-  EXPECT_EQ(told(a), "r2 clash list;");
+  EXPECT_EQ(summary_of(a), "r2 clash list;");
   EXPECT_EQ(a.stragglers[0].actual, "5 of x");
   EXPECT_EQ(a.stragglers[0].expected, "5 of y");
 }
--- a/tests/core/ledger/reconfiguration_test.cpp
+++ b/tests/core/ledger/reconfiguration_test.cpp
@@ -5,86 +5,91 @@
 namespace violetusher::core::ledger {
 namespace {
 
-using Kind = Step::Kind;
+using Kind = MembershipChange::Kind;
 
-Member voter(std::uint64_t id, const char* name, const char* zone, bool gone = false) {
-  return {id, name, zone, true, gone};
+Member voter(std::uint64_t id, const char* name, const char* zone, bool unreachable = false) {
+  return {id, name, zone, true, unreachable};
 }
 
-TEST(LedgerHeal, AGroupOfOneGrowsOverHallsUntilItIsWhole) {
+TEST(LedgerReconfiguration, AGroupOfOneGrowsOverHallsUntilItIsWhole) {
   std::vector<Member> members{voter(1, "r1", "bole")};
   std::vector<Candidate> candidates{{2, "r2", "bole"}, {3, "r3", "kality"}, {4, "r4", "piassa"}};
   std::vector<std::string> order;
-  while (auto step = next_step(1, 3, members, candidates)) {
-    if (step->kind == Kind::kAdd) {
-      order.push_back(step->name);
+  while (auto change = next_change(1, 3, members, candidates)) {
+    if (change->kind == Kind::kAdd) {
+      order.push_back(change->name);
       auto it = std::find_if(candidates.begin(), candidates.end(),
-                             [&](const auto& c) { return c.identity == step->identity; });
+                             [&](const auto& c) { return c.identity == change->identity; });
       members.push_back({it->identity, it->name, it->zone, false, false});
       candidates.erase(it);
     } else {
-      ASSERT_EQ(step->kind, Kind::kPromote);
+      ASSERT_EQ(change->kind, Kind::kPromote);
       for (Member& m : members)
-        if (m.identity == step->identity) m.votes = true;
+        if (m.identity == change->identity) m.votes = true;
     }
   }
   EXPECT_EQ(order, (std::vector<std::string>{"r3", "r4"})) << "no two of one hall";
 }
 
-TEST(LedgerHeal, WhoComesBackWithoutItsDiskTakesItsOwnPlaceUnderAnotherIdentity) {
+TEST(LedgerReconfiguration, WhoComesBackWithoutItsDiskTakesItsOwnPlaceUnderAnotherIdentity) {
   std::vector<Member> members{voter(1, "r1", "bole"), voter(2, "r2", "kality"),
                               voter(3, "r3", "piassa")};
   std::vector<Candidate> back{{33, "r3", "piassa"}};
-  EXPECT_EQ(next_step(1, 3, members, back), (Step{Kind::kRemove, 3, {}}));
+  EXPECT_EQ(next_change(1, 3, members, back), (MembershipChange{Kind::kRemove, 3, {}}));
   members.pop_back();
-  EXPECT_EQ(next_step(1, 3, members, back), (Step{Kind::kAdd, 33, "r3"}));
+  EXPECT_EQ(next_change(1, 3, members, back), (MembershipChange{Kind::kAdd, 33, "r3"}));
 }
 
-TEST(LedgerHeal, WhoIsGoneGivesWayOnceAnotherIsThere) {
+TEST(LedgerReconfiguration, WhoIsGoneGivesWayOnceAnotherIsThere) {
   std::vector<Member> members{voter(1, "r1", "bole"), voter(2, "r2", "kality"),
                               voter(3, "r3", "piassa", true)};
-  EXPECT_FALSE(next_step(1, 3, members, {})) << "without another it stays: two of three are better";
+  EXPECT_FALSE(next_change(1, 3, members, {}))
+      << "without another it stays: two of three are better";
   std::vector<Candidate> spare{{4, "r4", "kality"}};
-  EXPECT_EQ(next_step(1, 3, members, spare), (Step{Kind::kAdd, 4, "r4"}));
+  EXPECT_EQ(next_change(1, 3, members, spare), (MembershipChange{Kind::kAdd, 4, "r4"}));
   members.push_back(voter(4, "r4", "kality"));
-  EXPECT_EQ(next_step(1, 3, members, {}), (Step{Kind::kRemove, 3, {}}));
+  EXPECT_EQ(next_change(1, 3, members, {}), (MembershipChange{Kind::kRemove, 3, {}}));
 }
 
-TEST(LedgerHeal, AHallThatHoldsTheMajorityGivesOneUp) {
+TEST(LedgerReconfiguration, AHallThatHoldsTheMajorityGivesOneUp) {
   std::vector<Member> members{voter(1, "r1", "bole"), voter(2, "r2", "bole"),
                               voter(3, "r3", "kality")};
   std::vector<Candidate> spare{{4, "r4", "piassa"}};
-  EXPECT_EQ(next_step(1, 3, members, spare), (Step{Kind::kAdd, 4, "r4"}));
+  EXPECT_EQ(next_change(1, 3, members, spare), (MembershipChange{Kind::kAdd, 4, "r4"}));
   members.push_back(voter(4, "r4", "piassa"));
-  EXPECT_EQ(next_step(1, 3, members, {}), (Step{Kind::kRemove, 2, {}})) << "and never itself";
+  EXPECT_EQ(next_change(1, 3, members, {}), (MembershipChange{Kind::kRemove, 2, {}}))
+      << "and never itself";
   members.erase(members.begin() + 1);
-  EXPECT_FALSE(next_step(1, 3, members, {{2, "r2", "bole"}}));
+  EXPECT_FALSE(next_change(1, 3, members, {{2, "r2", "bole"}}));
 }
 
-TEST(LedgerHeal, NobodyMayStopTheMajority) {
+TEST(LedgerReconfiguration, NobodyMayStopTheMajority) {
   std::vector<Member> members{voter(1, "r1", "bole"), voter(2, "r2", "kality"),
                               voter(3, "r3", "piassa")};
   EXPECT_TRUE(may_stop(members, {"r2", "r9"}));
   EXPECT_FALSE(may_stop(members, {"r2", "r3"}));
-  members[0].gone = true;
+  members[0].unreachable = true;
   EXPECT_FALSE(may_stop(members, {"r2"}));
 }
 
-TEST(LedgerHeal, AMoveAddsTheNewOneBeforeTheOldOneGoes) {
+TEST(LedgerReconfiguration, AMoveAddsTheNewOneBeforeTheOldOneGoes) {
   std::vector<Member> three{
       {1, "r1", "a", true, false}, {2, "r2", "b", true, false}, {3, "r3", "c", true, false}};
   std::vector<Candidate> r4{{4, "r4", "a"}}, r4_r5{{5, "r5", "b"}, {4, "r4", "a"}};
   Move move{"r2", "r4"};
-  EXPECT_EQ(next_step(1, 3, three, r4_r5, move), (Step{Step::Kind::kAdd, 4, "r4"}));
-  EXPECT_FALSE(next_step(1, 3, three, {}, move)) << "the new one has not been heard of";
+  EXPECT_EQ(next_change(1, 3, three, r4_r5, move),
+            (MembershipChange{MembershipChange::Kind::kAdd, 4, "r4"}));
+  EXPECT_FALSE(next_change(1, 3, three, {}, move)) << "the new one has not been heard of";
   auto four = three;
   four.push_back({4, "r4", "a", false, false});
-  EXPECT_EQ(next_step(1, 3, four, r4, move), (Step{Step::Kind::kPromote, 4, {}}));
+  EXPECT_EQ(next_change(1, 3, four, r4, move),
+            (MembershipChange{MembershipChange::Kind::kPromote, 4, {}}));
   four.back().votes = true;
-  EXPECT_EQ(next_step(1, 3, four, r4, move), (Step{Step::Kind::kRemove, 2, {}}));
+  EXPECT_EQ(next_change(1, 3, four, r4, move),
+            (MembershipChange{MembershipChange::Kind::kRemove, 2, {}}));
   four.erase(four.begin() + 1);
-  EXPECT_FALSE(next_step(1, 3, four, {}, move)) << "it is done";
-  EXPECT_FALSE(next_step(2, 3, three, {}, move));
+  EXPECT_FALSE(next_change(1, 3, four, {}, move)) << "it is done";
+  EXPECT_FALSE(next_change(2, 3, three, {}, move));
 }
 
 }  // namespace
--- a/tests/core/ledger/rejoin_check_test.cpp
+++ b/tests/core/ledger/rejoin_check_test.cpp
@@ -5,54 +5,55 @@
 namespace violetusher::core::ledger {
 namespace {
 
-using Verdict = Probation::Verdict;
-Probation::Answer says(LogPosition theirs, LogPosition of_this_one = {}) {
-  return {theirs, of_this_one, {}};
+using Verdict = RejoinCheck::Verdict;
+RejoinCheck::Answer says(LogPosition position, LogPosition asker = {}) {
+  return {position, asker, {}};
 }
 
-TEST(Probation, OfThreeBothOthersAnswerAndOfFiveThreeOfFour) {
-  Probation three(1, {3, 3, 30}, {5, {1, 2, 3}}, 3, 6);
+TEST(RejoinCheck, OfThreeBothOthersAnswerAndOfFiveThreeOfFour) {
+  RejoinCheck three(1, {3, 3, 30}, {5, {1, 2, 3}}, 3, 6);
   EXPECT_EQ(three.needed(), 2u);
-  three.heard(2, says({3, 3, 29}));
-  three.heard(2, says({3, 3, 29}));  // twice is once
+  three.add_answer(2, says({3, 3, 29}));
+  three.add_answer(2, says({3, 3, 29}));  // twice is once
   EXPECT_EQ(three.verdict(), Verdict::kWait);
-  three.heard(9, says({3, 3, 29}));  // no voter
+  three.add_answer(9, says({3, 3, 29}));  // no voter
   EXPECT_EQ(three.verdict(), Verdict::kWait);
-  three.heard(3, says({4, 3, 31}));
+  three.add_answer(3, says({4, 3, 31}));
   EXPECT_EQ(three.verdict(), Verdict::kCleared);
   EXPECT_EQ(three.floor(), (LogPosition{4, 3, 31}));
-  EXPECT_EQ(Probation(1, {}, {5, {1, 2, 3, 4, 5}}, 5, 6).needed(), 3u);
-  EXPECT_EQ(Probation(1, {}, {5, {1, 2}}, 2, 6).needed(), 1u);
-  EXPECT_EQ(Probation(1, {}, {5, {1}}, 1, 0).verdict(), Verdict::kCleared);
+  EXPECT_EQ(RejoinCheck(1, {}, {5, {1, 2, 3, 4, 5}}, 5, 6).needed(), 3u);
+  EXPECT_EQ(RejoinCheck(1, {}, {5, {1, 2}}, 2, 6).needed(), 1u);
+  EXPECT_EQ(RejoinCheck(1, {}, {5, {1}}, 1, 0).verdict(), Verdict::kCleared);
 }
 
-TEST(Probation, WhoeverHeardMoreFromItThanItsDiskKnowsTellsThatTheDiskIsOld) {
-  Probation p(1, {3, 3, 30}, {5, {1, 2, 3}}, 3, 6);
-  p.heard(2, says({3, 3, 30}, {3, 3, 31}));
-  EXPECT_EQ(p.verdict(), Verdict::kOldDisk);
-  Probation by_vote(1, {3, 3, 30}, {5, {1, 2, 3}}, 3, 6);
-  by_vote.heard(2, says({4, 3, 30}, {4, 3, 30}));
+TEST(RejoinCheck, WhoeverHeardMoreFromItThanItsDiskKnowsTellsThatTheDiskIsOld) {
+  RejoinCheck p(1, {3, 3, 30}, {5, {1, 2, 3}}, 3, 6);
+  p.add_answer(2, says({3, 3, 30}, {3, 3, 31}));
+  EXPECT_EQ(p.verdict(), Verdict::kStaleDisk);
+  RejoinCheck by_vote(1, {3, 3, 30}, {5, {1, 2, 3}}, 3, 6);
+  by_vote.add_answer(2, says({4, 3, 30}, {4, 3, 30}));
   by_vote.vouch();
-  EXPECT_EQ(by_vote.verdict(), Verdict::kOldDisk) << "it had voted in a term that it has forgotten";
+  EXPECT_EQ(by_vote.verdict(), Verdict::kStaleDisk)
+      << "it had voted in a term that it has forgotten";
 }
 
-TEST(Probation, ADiskOfTheGroupsFirstSecondsIsAskedAboutByMoreThanItsOwnVoters) {
+TEST(RejoinCheck, ADiskOfTheGroupsFirstSecondsIsAskedAboutByMoreThanItsOwnVoters) {
   // By its own log it votes alone.
-  Probation p(1, {1, 1, 2}, {1, {1}}, 3, 6);
+  RejoinCheck p(1, {1, 1, 2}, {1, {1}}, 3, 6);
   EXPECT_EQ(p.verdict(), Verdict::kWait);
-  p.heard(2, {{5, 5, 400}, {}, {90, {1, 2, 3}}});
+  p.add_answer(2, {{5, 5, 400}, {}, {90, {1, 2, 3}}});
   EXPECT_EQ(p.verdict(), Verdict::kWait);
-  p.heard(7, says({}));
-  p.heard(8, says({}));
+  p.add_answer(7, says({}));
+  p.add_answer(8, says({}));
   EXPECT_EQ(p.verdict(), Verdict::kWait) << "half of the routers, but not both other voters";
-  p.heard(3, says({5, 5, 399}));
+  p.add_answer(3, says({5, 5, 399}));
   EXPECT_EQ(p.verdict(), Verdict::kCleared);
   EXPECT_EQ(p.floor(), (LogPosition{5, 5, 400}));
 }
 
 // Every fleet of up to seven voters, every majority that a promise may stand on with this one in
 // it, every set of answers that clears: the floor is never below the promise.
-TEST(Probation, WhatClearsAlwaysHeardOfEveryPromise) {
+TEST(RejoinCheck, WhatClearsAlwaysHeardOfEveryPromise) {
   for (unsigned n = 2; n <= 7; ++n) {
     unsigned majority = n / 2 + 1, others = n - 1;
     std::set<std::uint64_t> voters;
@@ -60,9 +61,9 @@
     for (unsigned holds = 0; holds < 1u << others; ++holds) {
       if (static_cast<unsigned>(__builtin_popcount(holds)) + 1 < majority) continue;
       for (unsigned answers = 0; answers < 1u << others; ++answers) {
-        Probation p(1, {1, 1, 10}, {1, voters}, n, others);
+        RejoinCheck p(1, {1, 1, 10}, {1, voters}, n, others);
         for (unsigned i = 0; i < others; ++i)
-          if (answers >> i & 1) p.heard(i + 2, says({1, 1, holds >> i & 1 ? 20u : 10u}));
+          if (answers >> i & 1) p.add_answer(i + 2, says({1, 1, holds >> i & 1 ? 20u : 10u}));
         ASSERT_TRUE(p.verdict() == Verdict::kWait || p.floor().last_index == 20) << n;
       }
     }
--- a/tests/core/ledger/rollout_test.cpp
+++ b/tests/core/ledger/rollout_test.cpp
@@ -28,7 +28,7 @@
   for (const std::string& bytes :
        {std::string(), std::string("text"), to_bytes({{"n", 1}}), Plan{0, 10, "a", {}, 0}.bytes(),
         Plan{1, 101, "a", {}, 0}.bytes(),
-        Plan{1, 10, std::string(kMostRolled + 1, 'a'), {}, 0}.bytes(),
+        Plan{1, 10, std::string(kMaxTextBytes + 1, 'a'), {}, 0}.bytes(),
         to_bytes({{"n", 1}, {"s", 1}, {"m", 1}, {"t", "no bytes"}, {"l", nullptr}})})
     EXPECT_FALSE(Plan::parse(bytes)) << bytes.substr(0, 40);
 }
@@ -43,7 +43,7 @@
   EXPECT_FALSE(widen(p, 100).plan);
   EXPECT_FALSE(start_rollout(p, "a", 10).plan) << "all have it";
   EXPECT_FALSE(start_rollout(p, "b", 0).plan);
-  EXPECT_FALSE(start_rollout(p, std::string(kMostRolled + 1, 'b'), 10).plan);
+  EXPECT_FALSE(start_rollout(p, std::string(kMaxTextBytes + 1, 'b'), 10).plan);
   EXPECT_EQ(*start_rollout(p, "b", 10).plan, (Plan{2, 10, "b", "a", 0}));
 }
 
@@ -61,8 +61,8 @@
   auto share = *rc::gen::inRange(1u, 100u), more = *rc::gen::inRange(share, 101u);
   auto some = first_of({number, share, "a", {}, 0}, names);
   auto others = first_of({number, more, "a", {}, 0}, names);
-  RC_ASSERT(some.size() == part_of(share, names.size()));
-  RC_ASSERT(others.size() == part_of(more, names.size()));
+  RC_ASSERT(some.size() == selected_count(share, names.size()));
+  RC_ASSERT(others.size() == selected_count(more, names.size()));
   for (const auto& name : some) RC_ASSERT(others.count(name) == 1u);
 }
 
@@ -88,7 +88,7 @@
   a.set_target(6, "two", 100);
   EXPECT_FALSE(a.next(200)) << "the first is under way";
   a.finish(Adopter::End::kAdopted, "", 300, 0);
-  EXPECT_EQ(a.has(), label("one"));
+  EXPECT_EQ(a.current(), label("one"));
   EXPECT_FALSE(a.at_target());
   EXPECT_EQ(a.next(300)->text, "two");
   a.finish(Adopter::End::kAdopted, "", 400, 0);
@@ -102,7 +102,7 @@
   ASSERT_TRUE(a.next(0));
   a.finish(Adopter::End::kRefused, "line 3", 0, 0);
   EXPECT_FALSE(a.next(1'000'000'000));
-  EXPECT_EQ(a.has(), "own");
+  EXPECT_EQ(a.current(), "own");
   EXPECT_EQ(a.report()["why"], "line 3");
   a.set_target(6, "good", 0);
   EXPECT_TRUE(a.next(0));
@@ -124,10 +124,10 @@
     Micros from = now;
     while (!a.next(now)) now += 10'000;
     a.finish(Adopter::End::kFailed, "full", now, 0);
-    EXPECT_GE(now - from, std::min<Micros>(waited, Adopter::kMostWait));
-    EXPECT_LE(now - from, Adopter::kMostWait * 3 / 2 + 10'000);
+    EXPECT_GE(now - from, std::min<Micros>(waited, Adopter::kMaxBackoff));
+    EXPECT_LE(now - from, Adopter::kMaxBackoff * 3 / 2 + 10'000);
     waited = now - from;
-    now += Adopter::kMostWait;
+    now += Adopter::kMaxBackoff;
   }
 }
 
--- a/tests/core/ledger/state_test.cpp
+++ b/tests/core/ledger/state_test.cpp
@@ -34,9 +34,9 @@
 
 TEST(LedgerState, WhatHasNoRoomIsRefusedAndChangesNothing) {
   State state;
-  std::string large(kMostText, 'x');
+  std::string large(kMaxValueBytes, 'x');
   std::uint64_t number = 0;
-  for (std::size_t i = 0; i < kMostTextAll / kMostText; ++i)
+  for (std::size_t i = 0; i < kMaxTotalBytes / kMaxValueBytes; ++i)
     EXPECT_EQ(apply(state, put(++number, "value/" + std::to_string(i), large)).status,
               Outcome::Status::kDone);
   EXPECT_EQ(apply(state, put(++number, "value/more", "x")).status, Outcome::Status::kFull);
@@ -48,7 +48,7 @@
 TEST(LedgerState, WhoseAnswerMayBeForgottenIsNotTakenForNew) {
   State state;
   apply(state, put(1, "value/a", "first", Call::kAny, 1));
-  for (std::uint64_t caller = 2; caller <= kMostCallers + 1; ++caller)
+  for (std::uint64_t caller = 2; caller <= kMaxCallers + 1; ++caller)
     apply(state, put(1, "value/b", std::to_string(caller), Call::kAny, caller));
   // It called before, and nobody knows any more what it was told.
   EXPECT_EQ(apply(state, put(1, "value/a", "first", Call::kAny, 1)).status,
--- a/tests/daemon/audit/trail_files_test.cpp
+++ b/tests/daemon/audit/trail_files_test.cpp
@@ -240,7 +240,7 @@
   ASSERT_TRUE(eventually([&] {
     std::uint64_t told = 0;
     History now = history();
-    for (const auto& s : now.spans()) told += s.router == "r2" ? s.attempts() : 0;
+    for (const auto& s : now.periods()) told += s.router == "r2" ? s.attempts() : 0;
     return told == 101;
   }));
   end(1, SIGKILL);
@@ -251,14 +251,14 @@
   History h = history();
   EXPECT_TRUE(h.violations().empty());
   std::map<std::string, std::uint64_t> told;
-  for (const auto& s : h.spans())
+  for (const auto& s : h.periods())
     for (const auto& [server, types] : s.sent) told[server] += types.at("read");
   EXPECT_EQ(told["s-0"], caches_[0].lines().size());
   EXPECT_EQ(told["s-1"], caches_[1].lines().size());
   EXPECT_EQ(told["s-0"] + told["s-1"], 60u * 3 + 40 + 41 + 30);
 
   std::map<std::string, std::uint64_t> under;  // attempts, by settings
-  for (const auto& s : h.spans()) under[s.versions.at("settings")] += s.attempts();
+  for (const auto& s : h.periods()) under[s.versions.at("settings")] += s.attempts();
   ASSERT_EQ(under.size(), 2u);
   auto fresh = under.begin()->second == 81 ? under.begin() : std::next(under.begin());
   EXPECT_EQ(fresh->second, 81u);
@@ -266,7 +266,7 @@
   ASSERT_EQ(arrivals.size(), 3u);
   EXPECT_TRUE(arrivals[0].never);
   EXPECT_EQ(arrivals[0].router, "r3");
-  EXPECT_EQ(arrivals[0].why, core::audit::Arrival::Why::kActs);
+  EXPECT_EQ(arrivals[0].why, core::audit::Arrival::Why::kActedOnAnother);
   EXPECT_FALSE(arrivals[1].never);
   for (int r = 0; r < kRouters; ++r) EXPECT_TRUE(read_trail(path(r, "")).faults.empty()) << r;
 }
@@ -280,7 +280,7 @@
     History h;
     h.add(read_trail(path(0, "")));
     told = 0;
-    for (const auto& s : h.spans()) told += s.attempts();
+    for (const auto& s : h.periods()) told += s.attempts();
     return told;
   };
   ASSERT_TRUE(eventually([&] { return count() == 20; }));
@@ -316,7 +316,7 @@
   h.add(trail);
   EXPECT_TRUE(h.violations().empty());
   std::map<std::string, std::uint64_t> told;
-  for (const auto& s : h.spans())
+  for (const auto& s : h.periods())
     for (const auto& [server, types] : s.sent) told[server] += types.at("read");
   EXPECT_LE(told["s-0"], caches_[0].lines().size());
   EXPECT_LE(told["s-1"], caches_[1].lines().size());
--- a/tests/daemon/ledger/rollout_file_test.cpp
+++ b/tests/daemon/ledger/rollout_file_test.cpp
@@ -12,15 +12,15 @@
 
 namespace fs = std::filesystem;
 
-class RolledFileTest : public ::testing::Test {
+class RolloutFileTest : public ::testing::Test {
  protected:
-  RolledFileTest() {
+  RolloutFileTest() {
     std::string pattern = ::testing::TempDir() + "/rolled-XXXXXX";
     folder_ = ::mkdtemp(pattern.data());
     path_ = folder_ + "/router.conf";
     std::ofstream(path_) << "own\n";
   }
-  ~RolledFileTest() override { fs::remove_all(folder_); }
+  ~RolloutFileTest() override { fs::remove_all(folder_); }
   static std::string text_of(const std::string& path) {
     std::ifstream in(path);
     return {std::istreambuf_iterator<char>(in), {}};
@@ -28,7 +28,7 @@
   std::string folder_, path_;
 };
 
-TEST_F(RolledFileTest, GoesToAnotherTextAndBackToItsOwn) {
+TEST_F(RolloutFileTest, GoesToAnotherTextAndBackToItsOwn) {
   RolloutFile file(path_);
   EXPECT_EQ(file.label(), "own");
   ASSERT_EQ(file.stage("rolled\n"), "");
@@ -40,7 +40,7 @@
   EXPECT_EQ(file.label(), "own");
 }
 
-TEST_F(RolledFileTest, AnOwnTextThatCantBeReadIsNotWrittenOver) {
+TEST_F(RolloutFileTest, AnOwnTextThatCantBeReadIsNotWrittenOver) {
   RolloutFile file(path_);
   ASSERT_EQ(file.stage("rolled\n"), "");
   ASSERT_TRUE(file.swap());
@@ -52,17 +52,17 @@
   EXPECT_EQ(text_of(path_), "rolled\n");
 }
 
-TEST_F(RolledFileTest, AnUndoThatFailedIsOwedUntilItIsDone) {
+TEST_F(RolloutFileTest, AnUndoThatFailedIsOwedUntilItIsDone) {
   RolloutFile file(path_);
   ASSERT_EQ(file.stage("rolled\n"), "");
   ASSERT_TRUE(file.swap());
   fs::rename(path_, path_ + ".kept");
   fs::create_directories(path_ + "/in-the-way");
   EXPECT_FALSE(file.undo());
-  EXPECT_TRUE(file.undo_owed());
+  EXPECT_TRUE(file.undo_pending());
   fs::remove_all(path_);
   EXPECT_TRUE(file.undo());
-  EXPECT_FALSE(file.undo_owed());
+  EXPECT_FALSE(file.undo_pending());
   EXPECT_EQ(text_of(path_), "own\n");
 }
 
--- a/tests/daemon/ledger/service_test.cpp
+++ b/tests/daemon/ledger/service_test.cpp
@@ -119,7 +119,7 @@
   }
   /// Somebody leads three that vote, each of them a router as it is now, with its disk, and as far
   /// as the leader.
-  bool whole() {
+  bool group_complete() {
     std::map<std::string, Json> now;
     Json leads;
     for (int r = 0; r < kRouters; ++r) {
@@ -142,7 +142,7 @@
     ASSERT_TRUE(eventually([&] {
       return kit::ask_ledger(ledger(0), "fleet", "found", Json::object(), 500, error).has_value();
     })) << error;
-    ASSERT_TRUE(eventually([&] { return whole(); })) << status(0).dump(1);
+    ASSERT_TRUE(eventually([&] { return group_complete(); })) << status(0).dump(1);
   }
   /// What an operator's line is answered.
   std::string say(int r, const std::string& line) {
@@ -226,7 +226,7 @@
     start(lost);
     ASSERT_TRUE(eventually([&] { return disabled(lost) == "1"; })) << lost;
     EXPECT_NE(status(lost).value("identity", ""), before);
-    ASSERT_TRUE(eventually([&] { return whole(); })) << lost;
+    ASSERT_TRUE(eventually([&] { return group_complete(); })) << lost;
   }
   EXPECT_EQ(say(3, "ONLINE s-0"), "SUCCESS\r\n");
   for (int r = 0; r < kRouters; ++r)
@@ -255,7 +255,7 @@
   ASSERT_TRUE(eventually([&] {
     return kit::ask_ledger(ledger(0), "fleet", "found", Json::object(), 500, error).has_value();
   }));
-  ASSERT_TRUE(eventually([&] { return whole(); })) << "of the three others";
+  ASSERT_TRUE(eventually([&] { return group_complete(); })) << "of the three others";
   EXPECT_FALSE(kit::ask_ledger(ledger(3), "fleet", "status", Json::object(), 300, error));
   auto s = kit::ask_ledger(ledger(3), "stranger", "status", Json::object(), 500, error);
   ASSERT_TRUE(s);
@@ -337,7 +337,7 @@
     return false;
   };
   for (int round = 0; round < 2; ++round) {
-    ASSERT_TRUE(eventually([&] { return keeps("r2") && keeps("r3") && whole(); }));
+    ASSERT_TRUE(eventually([&] { return keeps("r2") && keeps("r3") && group_complete(); }));
     std::string from = keeps("r1") ? "r1" : "r4", to = from == "r1" ? "r4" : "r1";
     EXPECT_EQ(tool("ledger move", "r2 r3"), 1) << "both keep";
     EXPECT_EQ(tool("ledger move", to + " r2"), 0) << "so it is already";
--- a/tests/daemon/ledger/storage_test.cpp
+++ b/tests/daemon/ledger/storage_test.cpp
@@ -41,11 +41,11 @@
     Op meta = Op::of({11, 12, 13, 14, true, storage.fingerprint()});
     Op snapshot =
         Op::put({2, 1, 1, write_members({{11, "r1#11", RAFT_VOTER}}), std::string(9, '\0')});
-    ASSERT_TRUE(storage.commit({meta, Op::count(Op::Kind::kTerm, 5), Op::count(Op::Kind::kVote, 11),
-                                append(1, 1, "one"), append(2, 1, ""), append(3, 4, "three"),
-                                append(4, 4, "four")}));
-    ASSERT_TRUE(storage.commit({Op::count(Op::Kind::kTruncate, 4), append(4, 5, "other"), snapshot,
-                                Op::count(Op::Kind::kTrim, 1)}));
+    ASSERT_TRUE(storage.commit({meta, Op::with_number(Op::Kind::kTerm, 5),
+                                Op::with_number(Op::Kind::kVote, 11), append(1, 1, "one"),
+                                append(2, 1, ""), append(3, 4, "three"), append(4, 4, "four")}));
+    ASSERT_TRUE(storage.commit({Op::with_number(Op::Kind::kTruncate, 4), append(4, 5, "other"),
+                                snapshot, Op::with_number(Op::Kind::kTrim, 1)}));
   }
   SqliteStorage storage(folder_);
   Image image = read(storage);
@@ -57,7 +57,7 @@
   EXPECT_EQ(image.log[0].index, 2u);
   ASSERT_TRUE(image.snapshot);
   EXPECT_EQ(image.snapshot->bytes.size(), 9u);
-  ASSERT_TRUE(storage.commit({Op::count(Op::Kind::kTerm, 6)}));
+  ASSERT_TRUE(storage.commit({Op::with_number(Op::Kind::kTerm, 6)}));
   EXPECT_EQ(read(storage).vote, 0u) << "a vote is of its term";
 }
 
@@ -65,7 +65,7 @@
   SqliteStorage storage(folder_);
   read(storage);
   ASSERT_TRUE(storage.commit({append(1, 1, "one")}));
-  EXPECT_FALSE(storage.commit({Op::count(Op::Kind::kTerm, 9), append(1, 1, "again")}));
+  EXPECT_FALSE(storage.commit({Op::with_number(Op::Kind::kTerm, 9), append(1, 1, "again")}));
   Image image = read(storage);
   EXPECT_EQ(image.term, 0u);
   EXPECT_EQ(image.log.size(), 1u);
@@ -78,8 +78,9 @@
   {
     SqliteStorage storage(folder_);
     read(storage);
-    ASSERT_TRUE(storage.commit({Op::count(Op::Kind::kTerm, 5), append(1, 1, std::string(3000, 'a')),
-                                append(2, 1, std::string(3000, 'b'))}));
+    ASSERT_TRUE(
+        storage.commit({Op::with_number(Op::Kind::kTerm, 5), append(1, 1, std::string(3000, 'a')),
+                        append(2, 1, std::string(3000, 'b'))}));
   }
   std::string path = folder_ + "/ledger.db";
   std::string good;
@@ -122,7 +123,7 @@
   SqliteStorage storage(folder_);
   read(storage);
   EXPECT_NE(storage.fingerprint(), before);
-  ASSERT_TRUE(storage.commit({Op::count(Op::Kind::kTerm, 5)}));
+  ASSERT_TRUE(storage.commit({Op::with_number(Op::Kind::kTerm, 5)}));
   ASSERT_TRUE(storage.quarantine());
   EXPECT_EQ(read(storage).term, 0u);
   EXPECT_TRUE(fs::exists(folder_ + ".aside/ledger.db"));
