--- a/src/core/audit/activity_recorder.cpp
+++ b/src/core/audit/activity_recorder.cpp
@@ -8,8 +8,8 @@
 
 using Json = nlohmann::json;
 
-/// Names come from settings and lists, which may hold any bytes.
-std::string text(const Json& body) {
+/// Replaces invalid UTF-8: names come from settings and host lists, which may hold any bytes.
+std::string encode(const Json& body) {
   return body.dump(-1, ' ', false, Json::error_handler_t::replace);
 }
 
@@ -20,10 +20,10 @@
 
 void ActivityRecorder::set_serving(const std::string& server, bool serving) {
   if (serving ? !serving_.insert(server).second : serving_.erase(server) == 0) return;
-  // There and back between two views is no change.
-  auto& now = serving ? added_ : removed_;
-  auto& before = serving ? removed_ : added_;
-  if (before.erase(server) == 0) now.insert(server);
+  // A change that is reverted before the next view cancels out.
+  auto& changes = serving ? added_ : removed_;
+  auto& opposite = serving ? removed_ : added_;
+  if (opposite.erase(server) == 0) changes.insert(server);
 }
 
 void ActivityRecorder::changed(Micros now) {
@@ -42,7 +42,7 @@
   }
   full_view_pending_ = false;
   added_.clear(), removed_.clear();
-  sink_(text(body));
+  sink_(encode(body));
 }
 
 void ActivityRecorder::tick(Micros now) {
@@ -61,12 +61,12 @@
         if (counts[k]) sent[server][types_[k]] = counts[k];
     for (std::size_t k = 0; k < refused_.size(); ++k)
       if (refused_[k]) refused[types_[k]] = refused_[k];
-    sink_(text({{"k", "did"},
-                {"view", view_},
-                {"from", period_start_},
-                {"to", now},
-                {"sent", std::move(sent)},
-                {"refused", std::move(refused)}}));
+    sink_(encode({{"k", "did"},
+                  {"view", view_},
+                  {"from", period_start_},
+                  {"to", now},
+                  {"sent", std::move(sent)},
+                  {"refused", std::move(refused)}}));
   }
   sent_.clear(), refused_.clear();
   active_ = false;
--- a/src/core/audit/activity_recorder.hpp
+++ b/src/core/audit/activity_recorder.hpp
@@ -1,6 +1,7 @@
-// What one router did, and on what it acted meanwhile: cut into periods at every change of what it
-// acts on, so that each attempt is counted under the one view that it was sent under. No I/O; the
-// time comes from outside. What it writes are the bodies of a trail's blocks; see trail.hpp.
+// Counts what one router does under each view, that is, under each set of versions (host list,
+// settings, ...) and serving servers. A new period begins whenever the view changes, so every
+// attempt is counted under exactly the view that it was sent under. Produces the bodies of trail
+// blocks (see trail.hpp). Does no I/O; callers pass the time.
 #pragma once
 
 #include <cstdint>
@@ -16,34 +17,38 @@
 
 using Micros = std::int64_t;
 
+/// Records the views of one router and its activity under each of them.
 class ActivityRecorder {
  public:
-  /// Of what there are versions, and which: "list" -> "4812", "settings" -> a digest.
+  /// Version by kind: "list" -> "4812", "settings" -> a digest.
   using Versions = std::map<std::string, std::string>;
   using Sink = std::function<void(std::string body)>;
-  /// Of all settings that this process has had; more are counted as the last one.
+  /// Request types over the life of the process; further types are counted under the last one.
   static constexpr std::size_t kMaxTypes = 256;
 
-  /// `versions` is asked at each change, `out` gets the bodies.
+  /// `versions` returns the current versions and is called at each change; `sink` receives the
+  /// block bodies.
   ActivityRecorder(std::function<Versions()> versions, Sink sink);
 
-  /// Whether the server gets anything new from here on. Takes effect with changed().
+  /// Sets whether the server receives new requests. Takes effect at the next call of changed().
   void set_serving(const std::string& server, bool serving);
-  /// Something that the router acts on may have changed: where it has, the period ends and another
-  /// view begins. To be called before anything is done under it.
+  /// To be called when the versions or the serving servers may have changed, before the router acts
+  /// on the change. Ends the period and begins a new view if they differ from the last view.
   void changed(Micros now);
-  /// Ends a period in which something was done.
+  /// Ends the current period if there was activity in it.
   void tick(Micros now);
-  /// The reader may have missed what was written: the next view says all there is.
+  /// Makes the next view list all serving servers instead of the changes. Needed when readers may
+  /// have missed earlier blocks.
   void write_full_view() { full_view_pending_ = true; }
 
-  /// A class's number, for sent(); the same for as long as the process runs.
+  /// The index of a request type, for sent(); constant over the life of the process.
   std::uint32_t type_of(std::string_view name);
-  /// The first byte of an attempt went to the server.
+  /// Counts an attempt whose first byte was written to the server.
   void sent(const std::string& server, std::uint32_t type);
-  /// A request was given up unserved.
+  /// Counts a request that was refused without being served.
   void refused(std::string_view type);
 
+  /// The number of the current view.
   std::uint64_t view() const { return view_; }
 
  private:
@@ -53,13 +58,14 @@
   Sink sink_;
   std::uint64_t view_ = 0;
   Versions versions_in_view_;
-  std::set<std::string> serving_, added_, removed_;  // of the list; since the last view
+  // Servers of the host list that receive new requests, and the changes since the last view.
+  std::set<std::string> serving_, added_, removed_;
   bool full_view_pending_ = true;
   Micros period_start_ = 0;
   std::vector<std::string> types_;
-  std::unordered_map<std::string, std::vector<std::uint64_t>> sent_;  // by type
-  std::vector<std::uint64_t> refused_;
-  bool active_ = false;  // anything since period_start_
+  std::unordered_map<std::string, std::vector<std::uint64_t>> sent_;  // indexed by type
+  std::vector<std::uint64_t> refused_;                                // indexed by type
+  bool active_ = false;  // anything was counted since period_start_
 };
 
 }  // namespace violetusher::core::audit
--- a/src/core/audit/history.cpp
+++ b/src/core/audit/history.cpp
@@ -4,14 +4,14 @@
 
 namespace violetusher::core::audit {
 
-/// Goes through one trail.
+/// Reads one trail block by block and adds its periods, violations and unknown intervals.
 class History::TrailWalker {
  public:
   TrailWalker(History& h, const std::string& router) : h_(h), router_(router) {}
 
   void consume(const Block& b) {
-    // Blocks are written by the program, but read from a disk: whatever is not as expected is a
-    // block of nothing.
+    // Blocks come from a disk and may have any content: one of an unexpected shape is skipped and
+    // makes the interval unknown.
     if (!b.body.is_object())
       return mark_unknown("block " + std::to_string(b.number) + " can't be read");
     try {
@@ -34,7 +34,7 @@
   }
 
  private:
-  /// What comes until the next view that says all can't be judged.
+  /// Activity up to the next full view can't be checked.
   void mark_unknown(const std::string& why) {
     close_period(last_, true);
     if (serving_known_) h_.unknown_.push_back({router_, why, last_, last_, 0});
@@ -117,8 +117,8 @@
   std::map<std::uint64_t, ActivityRecorder::Versions> views_seen_;  // of this process
   std::uint64_t view_ = 0, next_ = 0;
   Micros last_ = 0;
-  bool first_view_of_process_ = false;  // the next view is the first of its process
-  bool serving_known_ = false;          // what the router served is known
+  bool first_view_of_process_ = false;  // the next view is the first one of its process
+  bool serving_known_ = false;          // `serving_` is complete
 };
 
 std::string_view name_of(Arrival::Why why) {
@@ -163,7 +163,7 @@
                          Micros begin) const {
   if (!a.never && a.after == 0) return;
   Micros end = a.never ? a.last_known : begin + a.after;
-  bool before = false, began = false;  // it ran before; it came with a process that began
+  bool before = false, began = false;  // acted on another version; a process started with this one
   for (const Period* s : periods_of(a.router)) {
     auto v = s->versions.find(kind);
     if (v == s->versions.end()) continue;
@@ -177,7 +177,7 @@
   bool unknown = std::any_of(unknown_.begin(), unknown_.end(), [&](const UnknownInterval& u) {
     return u.router == a.router && u.from <= end && u.to >= begin;
   });
-  // One whose trail ends before anybody had the version was not there to get it.
+  // A router whose trail ends before any router had the version was down when it was published.
   bool gone = a.never && a.last_known < begin;
   a.why = began || gone || !before ? Arrival::Why::kDown
           : unknown                ? Arrival::Why::kUnknown
@@ -189,7 +189,7 @@
   for (const Period& s : periods_)
     if (s.from <= time && (time < s.to || (s.open && time == s.to))) found[s.router] = &s;
   std::vector<const Period*> out;
-  for (const auto& [router, span] : found) out.push_back(span);
+  for (const auto& [router, period] : found) out.push_back(period);
   return out;
 }
 
--- a/src/core/audit/summary_replication.cpp
+++ b/src/core/audit/summary_replication.cpp
@@ -9,7 +9,7 @@
 namespace violetusher::core::audit {
 namespace {
 
-/// The one that was heard of longest ago.
+/// The entry with the oldest update.
 template <typename Map>
 auto oldest(Map& all) {
   return std::min_element(all.begin(), all.end(),
@@ -29,19 +29,19 @@
     return std::tie(a.first, a.second.name) < std::tie(b.first, b.second.name);
   });
   for (auto& [rank, target] : ranked) ranked_.push_back(std::move(target));
-  // Routers that start together don't send together.
+  // Spreads the sending times of routers that start at the same moment.
   phase_ = static_cast<Micros>(ledger::digest(name) % kInterval);
 }
 
 std::vector<std::string> SummaryReplication::next_targets(Micros now) {
   if (next_ < 0) next_ = now + phase_;
   if (count_ == 0 || now < next_) return {};
-  // One that was frozen does not make up for what it did not send.
+  // After a stall the missed summaries are not sent in a burst.
   next_ = std::max(next_ + kInterval, now + kInterval / 2);
   std::vector<Target*> chosen;
   std::set<std::string> zones{zone_};
-  // First each from a hall that has none, then whoever ranks first; of those that do not answer
-  // only where there are too few others.
+  // Prefer targets in zones without one, then the highest ranked; targets that do not answer are
+  // used only if there are too few others.
   for (int round = 0; round < 4; ++round)
     for (Target& p : ranked_) {
       if (chosen.size() >= count_) break;
--- a/src/core/audit/summary_replication.hpp
+++ b/src/core/audit/summary_replication.hpp
@@ -1,7 +1,7 @@
-// Who keeps what a router last said of itself, so that of a machine that is lost with its disk it
-// is known what it acted on, up to a stated age. Each router sends a summary to a few others, of
-// other halls first, each of which holds the last one in memory; whoever looks asks all that are
-// left. No I/O and no clock.
+// Replicates each router's status summary to a few other routers, so that it is still known what a
+// machine acted on, up to a stated age, after it is lost with its disk. Each router sends its
+// summary to a few others, preferably in other zones, which hold the latest one in memory; a reader
+// asks all remaining routers. Does no I/O and reads no clock.
 #pragma once
 
 #include <cstdint>
@@ -15,31 +15,34 @@
 using Json = nlohmann::json;
 using Micros = std::int64_t;
 
+/// Chooses the routers that hold this router's summary, and holds the summaries of others.
 class SummaryReplication {
  public:
-  static constexpr Micros kInterval = 2'000'000;        ///< between two summaries to the same one
-  static constexpr int kMaxUnanswered = 3;              ///< then the next one takes its place
-  static constexpr Micros kExclusionTime = 30'000'000;  ///< before it is tried again
-  static constexpr std::size_t kMaxSummaryBytes = 16 << 10;  ///< of a summary
-  /// Of summaries held; by the order of names each router holds few more than it sends.
+  static constexpr Micros kInterval = 2'000'000;        ///< between two summaries
+  static constexpr int kMaxUnanswered = 3;              ///< then another target takes its place
+  static constexpr Micros kExclusionTime = 30'000'000;  ///< before such a target is tried again
+  static constexpr std::size_t kMaxSummaryBytes = 16 << 10;  ///< size of a summary
+  /// Summaries held. Targets are ranked by hash, so each router holds few more than it sends.
   static constexpr std::size_t kMaxStored = 64;
-  /// The last that a life of a router said that has ended: another disk under its name.
+  /// Last summaries held of former identities of routers, replaced by another disk under the same
+  /// name.
   static constexpr std::size_t kMaxFormer = 64;
 
-  /// `peers`: the other routers and their halls. `count`: how many are to hold its summary.
+  /// `peers`: the other routers and their zones. `count`: how many of them hold the summary.
   SummaryReplication(const std::string& name, const std::string& zone,
                      const std::map<std::string, std::string>& peers, std::size_t count);
 
-  /// Whom to send a summary now, none most of the time.
+  /// The routers to send a summary to now; empty between two intervals.
   std::vector<std::string> next_targets(Micros now);
-  /// One that it was sent to has it.
+  /// A target has confirmed that it holds the summary.
   void acknowledge(const std::string& holder);
 
-  /// Another router's summary: `identity` of its disk, and `number`, which grows while it has that
-  /// disk. False where it is not held: too large, older than the one that is, or none can be.
+  /// Stores another router's summary. `identity` is that of its disk; `number` increases as long as
+  /// it has that disk. False if it is not stored: it is too large, or not newer than the stored
+  /// one.
   bool store(const std::string& router, std::uint64_t identity, std::uint64_t number, Json summary,
              Micros now);
-  /// By router {"age_us", "said"}: in "now" what is held, in "former" of lives that have ended.
+  /// {"age_us", "said"} by router: "now" has the current identities, "former" the replaced ones.
   Json stored(Micros now) const;
 
  private:
@@ -57,7 +60,7 @@
 
   std::string zone_;
   std::size_t count_;
-  std::vector<Target> ranked_;  // by this router's rank of them
+  std::vector<Target> ranked_;  // by this router's hash rank
   Micros phase_ = 0, next_ = -1;
   std::map<std::string, StoredSummary> current_, former_;
 };
--- a/src/core/audit/trail.cpp
+++ b/src/core/audit/trail.cpp
@@ -23,7 +23,7 @@
   return error == std::errc() && end == text.data() + text.size();
 }
 
-/// A line as it stands, whether or not its sum is right.
+/// A parsed line whose sum has not been verified.
 struct Line {
   TrailPosition position;
   std::string_view summed, body;
@@ -46,7 +46,7 @@
   return ledger::digest(line.summed, before) == line.position.sum;
 }
 
-/// What a file's head says.
+/// The content of a file's header block.
 struct FileHeader {
   std::string router;
   std::uint64_t before = 0;
@@ -62,7 +62,7 @@
   return sum_matches(line, h.before) ? std::optional(h) : std::nullopt;
 }
 
-/// The next line of `text`, which loses it; nothing where it has no end.
+/// Removes the next line from `text` and returns it; nothing if no newline is left.
 std::optional<std::string_view> consume_line(std::string_view& text) {
   std::size_t end = text.find('\n');
   if (end == text.npos) return {};
@@ -127,7 +127,8 @@
   auto line = first ? parse(*first) : std::nullopt;
   auto begin = line ? parse_header(*line) : std::nullopt;
   if (!begin) {
-    // Its writer may have been ended at the first line; the next file tells what is missing.
+    // The writer may have been killed at the first line. The next file shows which blocks are
+    // missing.
     add_fault(first ? Kind::kCorrupt : Kind::kTorn, last.number + 1, last.number + 1);
     return;
   }
@@ -145,8 +146,8 @@
     Json body = Json::parse(line->body, nullptr, false);
     last = line->position;
     trail_.blocks.push_back({last.number, last.sum, std::move(body)});
-    // To the next line that is what was written. What a spoilt one says of itself is not believed,
-    // but the sum that stands in it is what the line after it was chained to.
+    // Skip to the next valid line. The content of a corrupt line is not trusted, but the sum in it
+    // is the one that the next line was chained to.
     std::uint64_t before = last.sum, bad = 0;
     for (line.reset(); !line;) {
       auto next = consume_line(text);
--- a/src/core/audit/trail.hpp
+++ b/src/core/audit/trail.hpp
@@ -1,7 +1,8 @@
-// A trail as text: one block a line, "SUM NUMBER BODY", where SUM is the XXH3 of number and body
-// after the sum of the line before. So a line that was cut, torn, spoilt, edited or taken out is
-// found. Not by whoever means to deceive and works the sums out anew: these are no signatures.
-// Files begin with a block of kind "file" that names the router and the sum before. No I/O.
+// Text format of an audit trail. Each line is one block, "SUM NUMBER BODY", where SUM is the XXH3
+// of number and body seeded with the sum of the previous line. This chain detects lines that were
+// truncated, torn, corrupted, edited or removed. It is no signature and does not protect against
+// someone who recomputes the sums. Each file begins with a block of kind "file" that holds the
+// router's name and the sum of the block before. Does no I/O.
 #pragma once
 
 #include <cstdint>
@@ -15,43 +16,47 @@
 
 using Json = nlohmann::json;
 
-/// Where a trail stands: its last block.
+/// The position of a trail: number and sum of its last block.
 struct TrailPosition {
-  std::uint64_t number = 0, sum = 0;  ///< 0: nothing was written yet
+  std::uint64_t number = 0, sum = 0;  ///< 0: nothing has been written yet
 };
 
-/// "NUMBER:SUM"
+/// Formats a position as "NUMBER:SUM".
 std::string format_position(const TrailPosition& position);
-/// Nothing where it is none.
+/// Parses "NUMBER:SUM"; nothing if `text` is not a position.
 std::optional<TrailPosition> parse_position(std::string_view text);
 
-/// The line of the next block, with its end; `last` becomes that block. `body` has no line end.
+/// Returns the line of the block after `last`, with its newline, and advances `last` to that block.
+/// `body` must not contain a newline.
 std::string append_block(TrailPosition& last, std::string_view body);
-/// The body of the first block of a file.
+/// The body of a file's header, its first block. `why`: the reason for beginning a new file.
 std::string header_body(const std::string& router, const TrailPosition& last,
                         const std::string& why);
 
+/// A block whose sum has been verified.
 struct Block {
   std::uint64_t number = 0, sum = 0;
   Json body;
 };
 
+/// A defect of a trail.
 struct Fault {
   enum class Kind {
-    kTorn,       ///< the end of a file that its writer did not come to finish
-    kCorrupt,    ///< a block that is not what was written
-    kMissing,    ///< blocks that are not there
-    kTruncated,  ///< it ends before the block that others know of
-    kRewritten,  ///< that block is another one than they know of
-    kForeign,    ///< a file of another router or another history
+    kTorn,       ///< an incomplete line at the end of a file
+    kCorrupt,    ///< a block whose sum does not match
+    kMissing,    ///< blocks are missing
+    kTruncated,  ///< the trail ends before a block that other routers know of
+    kRewritten,  ///< that block has another sum than other routers know
+    kForeign,    ///< a file of another router or of another chain
   };
   Kind kind = Kind::kCorrupt;
-  std::uint64_t from = 0, to = 0;  ///< blocks that are in doubt, the last with them
+  std::uint64_t from = 0, to = 0;  ///< affected blocks, inclusive
   std::string file;
 };
+/// The kind as it is shown to operators.
 std::string_view name_of(Fault::Kind kind);
 
-/// What is left of a router's trail, in order, and what is wrong with it.
+/// The readable blocks of a router's trail, in order, and its defects.
 struct Trail {
   std::string router;
   std::vector<Block> blocks;
@@ -59,10 +64,10 @@
   TrailPosition last;
 };
 
-/// Puts files together that are given in the order of their names.
+/// Assembles a trail from its files, which are added in the order of their names.
 class TrailReader {
  public:
-  /// A file without a head that can be read is a fault, and nothing of it is taken.
+  /// Adds a file. One without a valid header is recorded as a fault and skipped.
   void add_file(const std::string& name, std::string_view text);
   Trail finish() { return std::move(trail_); }
 
@@ -73,12 +78,13 @@
   std::string file_;
 };
 
-/// Whether the trail bears out what others hold of it; `from` is the first block in doubt. A block
-/// that went with the oldest files, or is in doubt already, tells nothing.
+/// Compares the trail with a position that other routers hold of it; a fault if they contradict,
+/// with `from` as the first affected block. A block that was deleted with the oldest files, or that
+/// is already affected by a fault, can't be compared.
 std::optional<Fault> compare_with_position(const Trail& trail, const TrailPosition& expected);
 
-/// The last whole block of a file that is still written, or was when its writer ended; none where
-/// there is no whole one.
+/// The position of the last complete block in the text of a file, which may end in a torn line;
+/// nothing if it has no complete block.
 std::optional<TrailPosition> last_position_in(std::string_view text);
 
 }  // namespace violetusher::core::audit
--- a/src/core/audit/versions.cpp
+++ b/src/core/audit/versions.cpp
@@ -11,8 +11,8 @@
   return v.number ? std::to_string(v.number) + " of " + v.content : v.content;
 }
 
-/// What all should have: the greatest number where there are numbers, and of that, or without any,
-/// the content that most have.
+/// The version that all routers should have: the highest number, and of the versions with that
+/// number the most frequent content.
 Version expected_version(const std::vector<const Version*>& all) {
   std::uint64_t newest = 0;
   for (const Version* v : all) newest = std::max(newest, v->number);
@@ -27,19 +27,20 @@
   return out;
 }
 
-/// What a straggler should have. Which of two texts a roll-out has for it, it alone could say.
+/// The version that a straggler should have, as text. Only the router itself can tell which of the
+/// two texts of a roll-out is assigned to it.
 std::string expected_of(const Version& has, const Version& expected_version) {
   if (!has.assigned) return format_version(expected_version);
   return has.number >= expected_version.number ? *has.assigned
                                                : std::to_string(expected_version.number);
 }
 
-/// Why a router that answers has something else than it should; nothing where it has not.
+/// Why a router that answers does not have the expected version; nothing if it has.
 std::optional<Cause> cause_of(const RouterReport& s, const Version& v, const Version& expected,
                               Micros max_age) {
   bool partitioned = s.age < 0 || s.age > max_age;
   if (v.assigned) {
-    // It knows what it is to have, unless what it knows is old.
+    // The router knows its assigned content, unless its view of the ledger is old.
     if (*v.assigned == v.content && v.number >= expected.number) return {};
     if (partitioned) return Cause::kPartitioned;
     if (v.number < expected.number) return Cause::kBehind;
@@ -84,7 +85,7 @@
     }
     for (const auto& [kind, expected_version] : expected) {
       auto has = s.versions.find(kind);
-      if (has == s.versions.end()) continue;  // it has none of that kind, by its operator file
+      if (has == s.versions.end()) continue;  // its operator file has none of that kind
       auto cause = cause_of(s, has->second, expected_version, max_age);
       if (!cause) continue;
       const Version& v = has->second;
--- a/src/core/audit/versions.hpp
+++ b/src/core/audit/versions.hpp
@@ -1,5 +1,6 @@
-// Which router acts on which version of what, and who is behind and why: worked out of what each
-// router says of itself and of who said nothing. No I/O and no clock.
+// Audit of a fleet: which router acts on which version of each kind of content, which routers are
+// behind, and why. Computed from the status that each router reports, and from the routers that did
+// not answer. Does no I/O and reads no clock.
 #pragma once
 
 #include <cstdint>
@@ -12,57 +13,61 @@
 
 using Micros = std::int64_t;
 
-/// One version that a router acts on. Where there is no number, what most have counts as the one
-/// that all should have.
+/// A version that a router acts on. Without numbers, the content that most routers have is the
+/// expected one.
 struct Version {
-  std::uint64_t number = 0;  ///< only grows; 0: there is none
-  std::string content;       ///< a digest or a name; equal where the content is
-  std::optional<std::string>
-      assigned;          ///< the content that this router is to have, where it is told
-  std::string why;       ///< of its own: why it has another
-  bool refused = false;  ///< it can't use what is wanted
+  std::uint64_t number = 0;             ///< increases with each version; 0: not numbered
+  std::string content;                  ///< a digest or a name that identifies the content
+  std::optional<std::string> assigned;  ///< content assigned to this router, if reported
+  std::string why;                      ///< the router's own reason for having another
+  bool refused = false;                 ///< it can't use the assigned content
 };
 
+/// What one router reported, or why it could not be asked.
 struct RouterReport {
   std::string router, zone;
-  std::string error;         ///< why it could not be asked; empty where it answered
-  bool disk_failed = false;  ///< of its ledger
-  Micros age = 0;            ///< of what it knows of the fleet; negative: it does not know
+  std::string error;                        ///< why it could not be asked; empty if it answered
+  bool disk_failed = false;                 ///< the disk of its ledger fails
+  Micros age = 0;                           ///< of its view of the ledger; negative: unknown
   std::map<std::string, Version> versions;  ///< by kind: "program", "settings", "file/operator"
 };
 
+/// Why a router does not act on the expected version; the most severe first.
 enum class Cause {
-  kUnreachable,  ///< down, or not to be reached
-  kPartitioned,  ///< it answers, and has heard nothing of the fleet for too long
-  kDiskFailed,   ///< its disk takes nothing
+  kUnreachable,  ///< down or unreachable
+  kPartitioned,  ///< it answers, but its view of the ledger is too old
+  kDiskFailed,   ///< its disk fails
   kRefused,      ///< it can't use the version
-  kInProgress,   ///< it knows of the version and is coming to it
-  kBehind,       ///< it has an older one, and nothing says why
-  kDiffers,      ///< no number tells which is newer; most have another
-  kConflict,     ///< the number is the one of most, the content is not
+  kInProgress,   ///< it knows the version and is applying it
+  kBehind,       ///< it has an older version for no known reason
+  kDiffers,      ///< not numbered, and most routers have another content
+  kConflict,     ///< the expected number with other content
 };
+/// The cause as it is shown to operators.
 std::string_view name_of(Cause cause);
 
+/// A router that does not act on the expected version.
 struct Straggler {
   std::string router, kind;
-  std::string actual, expected;  ///< "7 of 4f1c...", or the content alone
+  std::string actual, expected;  ///< "7 of 4f1c...", or the content alone if not numbered
   Cause cause = Cause::kBehind;
   std::string why;
 };
 
-/// Of one kind: how many act on what, the most frequent first.
+/// The number of routers on each version of one kind, the most frequent first.
 struct VersionDistribution {
   std::string kind;
   std::vector<std::pair<std::string, std::size_t>> versions;
 };
 
+/// The result of an audit.
 struct Audit {
   std::size_t routers = 0, current = 0;
   std::vector<VersionDistribution> distributions;
-  std::vector<Straggler> stragglers;  ///< the gravest causes first, then by router
+  std::vector<Straggler> stragglers;  ///< the most severe causes first, then by router
 };
 
-/// `max_age`: how old a router's knowledge of the fleet may be.
+/// Audits the fleet. A router whose view of the ledger is older than `max_age` counts as cut off.
 Audit audit(const std::vector<RouterReport>& fleet, Micros max_age);
 
 }  // namespace violetusher::core::audit
--- a/src/core/ledger/bytes.cpp
+++ b/src/core/ledger/bytes.cpp
@@ -8,7 +8,7 @@
 namespace violetusher::core::ledger {
 namespace {
 
-/// Builds the value as the library's own reader does, but not past a depth: the reader recurses.
+/// The library's own DOM parser with a limit on nesting depth, since its reader recurses.
 class DepthLimitedParser : public nlohmann::detail::json_sax_dom_parser<Json> {
   using Base = nlohmann::detail::json_sax_dom_parser<Json>;
 
@@ -43,7 +43,7 @@
     if (!Json::sax_parse(bytes.begin(), bytes.end(), &reader, Json::input_format_t::cbor))
       return {};
   } catch (const std::exception&) {
-    return {};  // a size that no memory has
+    return {};  // a length beyond the available memory
   }
   return value;
 }
--- a/src/core/ledger/mutants.hpp
+++ b/src/core/ledger/mutants.hpp
@@ -1,28 +1,31 @@
-// Faults that tests plant in the ledger's own code, to see them caught. In what ships `mutant()` is
-// a constant false and nothing is left of them; only the tests' build has VIOLETUSHER_MUTANTS.
+// Faults that tests inject into the ledger's code to check that the tests detect them (mutation
+// testing). In production builds mutant() is a constant false and the faults are compiled out; only
+// test builds define VIOLETUSHER_MUTANTS.
 #pragma once
 
 namespace violetusher::core::ledger {
 
+/// The faults that can be injected.
 enum class Mutant {
   kNone,
-  kRepeatAppliedTwice,     ///< a call that comes again takes effect again
-  kFollowerGoesBack,       ///< a follower takes whatever state it is given
-  kAnswersBeforeCommit,    ///< the leader says yes once the call is in its own log
-  kOldDiskTrusted,         ///< nobody is asked after a start
-  kFloorIgnored,           ///< votes without having caught up to what the others have
-  kVoteForgotten,          ///< the vote is not read back at a start
-  kAcknowledgeBeforeSync,  ///< what is appended is called stored before it is
-  kSnapshotLosesIndex,     ///< a snapshot says that it ends one entry later
-  kTrimBeforeSnapshot,     ///< the log is cut before the snapshot that replaces it is on the disk
-  kIdentityOutlivesDisk,   ///< who comes back empty goes on under the old identity
-  kReadsOwnState,          ///< a read is answered from the keeper's own state without the log
-  kViewForgotten,          ///< a follower's view is not read back at a start
-  kShareIgnored,           ///< a roll-out goes to all at once
-  kFilesNotRead,           ///< after a start a router's file is taken for its own, unread
-  kTakenMeansWanted,       ///< what ended counts for what is wanted by now
+  kRepeatAppliedTwice,     ///< a repeated call takes effect again
+  kFollowerGoesBack,       ///< a follower accepts any state, also an older one
+  kAnswersBeforeCommit,    ///< the leader confirms a call once it is in its own log
+  kOldDiskTrusted,         ///< the rejoin check after a start is skipped
+  kFloorIgnored,           ///< votes without having caught up to the rejoin check's floor
+  kVoteForgotten,          ///< the vote is not loaded at a start
+  kAcknowledgeBeforeSync,  ///< appended entries are reported as stored before they are
+  kSnapshotLosesIndex,     ///< a snapshot claims to end one entry later than it does
+  kTrimBeforeSnapshot,     ///< the log is trimmed before its snapshot is on the disk
+  kIdentityOutlivesDisk,   ///< a voter that lost its disk continues under the old identity
+  kReadsOwnState,          ///< a voter answers reads from its own state without the log
+  kViewForgotten,          ///< a follower's view is not loaded at a start
+  kShareIgnored,           ///< a roll-out reaches all routers at once
+  kFilesNotRead,           ///< after a start a router's file counts as its own without being read
+  kTakenMeansWanted,       ///< a finished job counts as the text that is assigned by now
 };
 
+/// Whether fault `m` is injected; at most one is at a time.
 #ifdef VIOLETUSHER_MUTANTS
 inline Mutant planted = Mutant::kNone;
 inline bool mutant(Mutant m) { return planted == m; }
--- a/src/core/ledger/reconfiguration.cpp
+++ b/src/core/ledger/reconfiguration.cpp
@@ -12,7 +12,7 @@
                     [&](const Member& m) { return m.votes && !m.unreachable && m.zone == zone; }));
 }
 
-/// Of those that could come, the one whose hall has the fewest; names break ties.
+/// The eligible candidate whose zone has the fewest voters; ties are broken by name.
 const Candidate* best_candidate(const std::vector<Member>& members,
                                 const std::vector<Candidate>& from) {
   const Candidate* found = nullptr;
@@ -34,8 +34,8 @@
                                             const std::vector<Member>& members,
                                             const std::vector<Candidate>& candidates,
                                             const std::optional<Move>& move) {
-  // Who comes under a new identity has lost the disk of the old one: that one never comes back, and
-  // a vote that nobody can cast only makes a majority harder to have.
+  // A member's router that reports a new identity has lost the old one's disk. The old identity
+  // never returns, and a vote that nobody can cast only makes a majority harder to reach.
   for (const Member& m : members)
     if (m.identity != self && std::any_of(candidates.begin(), candidates.end(), [&](const auto& c) {
           return c.name == m.name && c.identity != m.identity;
@@ -58,7 +58,7 @@
       for (const Candidate& c : candidates)
         if (c.name == move->to)
           return MembershipChange{MembershipChange::Kind::kAdd, c.identity, c.name};
-    // The new one votes by now, so the old one is not missed.
+    // The new member already votes, so the old one can be removed.
     if (to != members.end() && from != members.end() && from->identity != self)
       return MembershipChange{MembershipChange::Kind::kRemove, from->identity, {}};
   }
@@ -67,12 +67,12 @@
   const Candidate* next = best_candidate(members, candidates);
   if (reachable < target_voters && next)
     return MembershipChange{MembershipChange::Kind::kAdd, next->identity, next->name};
-  // Those who are gone leave once enough others are there.
+  // Unreachable voters are removed once there are enough others.
   if (voting > target_voters)
     for (const Member& m : members)
       if (m.votes && m.unreachable)
         return MembershipChange{MembershipChange::Kind::kRemove, m.identity, {}};
-  // A hall that would take the majority with it gives one up, where another hall has room.
+  // A zone that holds a majority gives up one voter if another zone has room.
   if (reachable > target_voters || (next && reachable == target_voters)) {
     const Member* crowded = nullptr;
     for (const Member& m : members)
@@ -96,19 +96,19 @@
                         [&](const Member& m) { return m.name == name; });
   };
   auto from = named(move.from);
-  if (from == members.end()) return "'" + move.from + "' is no keeper";
-  if (named(move.to) != members.end()) return "'" + move.to + "' is a keeper already";
+  if (from == members.end()) return "'" + move.from + "' is not a voter";
+  if (named(move.to) != members.end()) return "'" + move.to + "' is already a voter";
   if (!to) return {};
   std::vector<Member> after;
   for (const Member& m : members)
     if (m.name != move.from) after.push_back(m);
   after.push_back({to->identity, to->name, to->zone, true, false});
-  // Whoever leads then is none of both, if anybody else is there.
+  // Assume that the leader is neither of the two, if there is another member.
   auto self =
       std::find_if(after.begin(), after.end(), [&](const Member& m) { return m.name != move.to; });
   if (next_change(self == after.end() ? to->identity : self->identity, target_voters, after,
                   {{from->identity, from->name, from->zone}}))
-    return "the group would undo it: hall '" + to->zone + "' would have too many keepers";
+    return "the group would revert the move: zone '" + to->zone + "' would have too many voters";
   return {};
 }
 
--- a/src/core/ledger/rejoin_check.hpp
+++ b/src/core/ledger/rejoin_check.hpp
@@ -1,18 +1,20 @@
-// Whether a keeper that has just started may vote. Its disk may be an old one that somebody put
-// back: then it has promised things that it no longer knows of, and a vote of its could make a
-// majority forget them. So it asks the others first.
+// Decides whether a voter that has just started may vote. Its disk may be an old copy that was
+// restored. Then it has lost acknowledged entries and votes, and voting could make a majority lose
+// them, which Raft does not tolerate. So it asks the other members first.
 //
-// Let n keepers vote and m be a majority. What this one has promised stands also on m - 1 others.
-// Any n - m + 1 others have one of those among them: once so many have answered, the newest log and
-// the highest term among them bound all that it can have promised. It then votes for nobody whose
-// log is behind that, leads nothing before its own log is there, and uses no term up to that one;
-// whether its disk is old no longer matters to what was promised. Where one of the others has heard
-// more from it than its disk knows, the disk is old for certain, and its identity is given up.
+// Let the group have n voters and let m be a majority. Whatever this voter has acknowledged is also
+// on m - 1 others. Any n - m + 1 others include one of those, so once that many have answered, the
+// newest log and the highest term among the answers (the floor) bound everything that it can have
+// acknowledged. From then on it grants no vote to a candidate whose log is behind the floor, does
+// not become leader until its own log has reached the floor, and does not use a term up to the
+// floor's. Then it no longer matters whether the disk is old. If another member has heard of a
+// later position of this voter than its disk holds, the disk is certainly old and its identity is
+// abandoned.
 //
-// An old disk may also name old voters, few or none where it is of the group's first seconds. So
-// those who answer tell who votes by their own logs, and the latest of these is asked instead; and
-// with fewer voters on the disk than the group is to have, half of all routers have to answer
-// first.
+// An old disk may also hold an old configuration, with few or no voters if it is from the first
+// seconds of the group. So answers include the voters according to the sender's log, and the most
+// recent configuration is used. If the disk lists fewer voters than the group should have, half of
+// all routers have to answer as well.
 #pragma once
 
 #include <algorithm>
@@ -24,48 +26,54 @@
 
 namespace violetusher::core::ledger {
 
-/// How far a keeper's disk is: its term, and the end of its log. Neither ever goes back.
+/// The position of a voter's disk: its term and the end of its log. Neither ever decreases.
 struct LogPosition {
   std::uint64_t term = 0, last_term = 0, last_index = 0;
-  /// Whether a log that ends so is older than one that ends as `o` says; raft's own order.
+  /// Whether a log that ends here is less up to date than one that ends at `o`, in Raft's order.
   bool log_before(const LogPosition& o) const {
     return std::tie(last_term, last_index) < std::tie(o.last_term, o.last_index);
   }
+  /// Whether the term or the log end is behind that of `o`.
   bool behind(const LogPosition& o) const { return term < o.term || log_before(o); }
-  /// The later of both, each part alone.
+  /// Raises the term and the log end, each on its own, to those of `o` if they are later.
   void raise(const LogPosition& o);
   bool operator==(const LogPosition&) const = default;
   Json json() const { return Json::array({term, last_term, last_index}); }
   static LogPosition parse(const Json& value);
 };
 
+/// Collects the answers of other members until the voter may vote or its disk proves to be old.
 class RejoinCheck {
  public:
   enum class Verdict { kWait, kCleared, kStaleDisk };
 
-  /// Who votes, by the entry of the log at `index`.
+  /// The voters of the group according to the configuration entry at `index`.
   struct Voters {
     std::uint64_t index = 0;
     std::set<std::uint64_t> identities;
   };
-  /// `own_voters`: by this disk's log, its own identity among them or not. `wanted`: voters of the
-  /// whole group. `routers`: all others of the fleet.
+  /// `own_voters`: according to this disk's log, with or without its own identity. `target_voters`:
+  /// the number of voters that the group should have. `routers`: the number of all other routers.
   RejoinCheck(std::uint64_t self, const LogPosition& own, const Voters& own_voters,
               std::size_t target_voters, std::size_t routers);
 
+  /// The answer of another member.
   struct Answer {
-    LogPosition position;  ///< how far it is; nothing of one that keeps nothing
-    LogPosition asker;     ///< the furthest that it ever heard this one say it is
+    LogPosition position;  ///< of the sender; zero if it is not a member
+    LogPosition asker;     ///< the latest position that the sender has heard of this voter
     Voters voters;
   };
+  /// Registers an answer; a repeated one from the same identity counts once.
   void add_answer(std::uint64_t from, const Answer& answer);
-  /// The operators, or the time that they set, say that the disk is no old one.
+  /// The operators, or the time limit that they configured, confirm that the disk is not old.
   void vouch() { vouched_ = true; }
 
+  /// What to do according to the answers so far.
   Verdict verdict() const;
+  /// The number of answers that are needed, and of those that have arrived.
   std::size_t needed() const { return std::max(needed_voters_, needed_routers_); }
   std::size_t answered() const { return answered_.size(); }
-  /// What the votes of this one must respect once it is cleared.
+  /// The position that its votes must respect once it is cleared.
   const LogPosition& floor() const { return floor_; }
 
  private:
@@ -75,8 +83,8 @@
   Voters voters_;
   std::set<std::uint64_t> answered_;
   LogPosition own_, floor_;
-  std::size_t needed_voters_ = 0;   // of the voters
-  std::size_t needed_routers_ = 0;  // of all
+  std::size_t needed_voters_ = 0;   // answers from voters
+  std::size_t needed_routers_ = 0;  // answers from all routers
   bool vouched_ = false, stale_ = false;
 };
 
--- a/src/core/ledger/rollout.cpp
+++ b/src/core/ledger/rollout.cpp
@@ -10,7 +10,7 @@
 
 Json json_of(const Text& text) { return text ? binary(*text) : Json(); }
 
-/// Where a router stands in the order of one roll-out.
+/// Orders the routers within one roll-out.
 std::uint64_t selection_key(const Plan& plan, const std::string& name) {
   return digest(name, digest(std::to_string(plan.number)));
 }
@@ -52,27 +52,27 @@
 Proposal start_rollout(const std::optional<Plan>& now, std::string text, unsigned share) {
   if (now && now->in_progress())
     return {{},
-            "roll-out " + std::to_string(now->number) + " is under way, at " +
-                std::to_string(now->share) + " per cent: widen it to 100 or take it back first"};
+            "roll-out " + std::to_string(now->number) + " is in progress, at " +
+                std::to_string(now->share) + " percent: widen it to 100 or roll it back first"};
   if (text.size() > kMaxTextBytes)
-    return {{}, "a text of more than " + std::to_string(kMaxTextBytes) + " bytes"};
-  if (share < 1 || share > 100) return {{}, "a share is 1 to 100 per cent"};
+    return {{}, "the text is longer than " + std::to_string(kMaxTextBytes) + " bytes"};
+  if (share < 1 || share > 100) return {{}, "the share must be 1 to 100 percent"};
   Plan p{now ? now->number + 1 : 1, share, std::move(text), now ? now->next : Text(), 0};
-  if (now && p.next == now->next) return {{}, "all routers act on this text already"};
+  if (now && p.next == now->next) return {{}, "all routers use this text already"};
   return {p, {}};
 }
 
 Proposal widen(const std::optional<Plan>& now, unsigned share) {
-  if (!now || !now->in_progress()) return {{}, "no roll-out is under way"};
+  if (!now || !now->in_progress()) return {{}, "no roll-out is in progress"};
   if (share <= now->share || share > 100)
-    return {{}, "it stands at " + std::to_string(now->share) + " per cent: widen it to more"};
+    return {{}, "the share is " + std::to_string(now->share) + " percent: it can only grow"};
   Plan p = *now;
   p.share = share;
   return {p, {}};
 }
 
 Proposal roll_back(const std::optional<Plan>& now) {
-  if (!now || now->next == now->previous) return {{}, "there is nothing to go back from"};
+  if (!now || now->next == now->previous) return {{}, "there is no roll-out to roll back"};
   return {Plan{now->number + 1, 100, now->previous, now->previous, 0}, {}};
 }
 
@@ -105,7 +105,7 @@
   version_ = version;
   if (text == text_) return;
   text_ = text;
-  // Another text is another matter.
+  // Rejection and backoff applied to the previous target.
   refused_.clear();
   why_.clear();
   backoff_ = 0;
--- a/src/core/ledger/rollout.hpp
+++ b/src/core/ledger/rollout.hpp
@@ -1,6 +1,6 @@
-// A text that all routers are to act on, such as an operator file, brought to a part of them first:
-// what stands about it in the ledger, which router is to act on which of its two texts, and what
-// one router does to come there. No I/O and no clock.
+// Staged roll-out of a text, such as an operator file, to a share of the routers first: the plan
+// that is stored in the ledger, which of its two texts a router should use, and the steps by which
+// one router gets there. Does no I/O and reads no clock.
 #pragma once
 
 #include <cstdint>
@@ -15,20 +15,20 @@
 
 using Micros = std::int64_t;
 
-inline constexpr std::size_t kMaxTextBytes = 31u << 10;  ///< bytes of one text; a plan holds two
+inline constexpr std::size_t kMaxTextBytes = 31u << 10;  ///< a plan holds two texts
 
-/// Nothing: what each router's own file held before any roll-out.
+/// The text of a file; nothing stands for each router's own text from before any roll-out.
 using Text = std::optional<std::string>;
-/// "own", or 16 digits of the text's digest.
+/// "own", or the digest of the text as 16 hexadecimal digits.
 std::string label(const Text& text);
 
-/// What stands in the ledger as "file/NAME". One value holds all of it, so that there is no moment
-/// in which a plan is there and its text is not.
+/// The ledger's value "file/NAME". One value holds plan and texts, so a plan never exists without
+/// its texts.
 struct Plan {
-  std::uint64_t number = 0;  ///< of the roll-out: one more with each that begins or is taken back
-  unsigned share = 100;      ///< per cent of the routers, rounded up, that act on `next`
-  Text next, previous;       ///< the rest act on `last`
-  std::uint64_t nonce = 0;   ///< drawn by whoever wrote it, so that no two writings are alike
+  std::uint64_t number = 0;  ///< increases with each roll-out and each roll-back
+  unsigned share = 100;      ///< percentage of routers, rounded up, that use `next`
+  Text next, previous;       ///< the other routers use `previous`
+  std::uint64_t nonce = 0;   ///< random, so that no two writes are equal
 
   bool in_progress() const { return share < 100; }
   std::string bytes() const;
@@ -36,29 +36,33 @@
   bool operator==(const Plan&) const = default;
 };
 
-/// The plan to write in place of `now`, or why there is none.
+/// The plan to write in place of the current one, or the reason why there is none.
 struct Proposal {
   std::optional<Plan> plan;
   std::string why;
 };
-/// Refused while another is under way, and of a text that all act on already.
+/// Starts a roll-out. Rejected while another is in progress, or if all routers use the text
+/// already.
 Proposal start_rollout(const std::optional<Plan>& now, std::string text, unsigned share);
-/// To more routers; 100 ends the roll-out. Never to fewer: that is what back() is for.
+/// Extends the roll-out to more routers; 100 completes it. The share never shrinks; use
+/// roll_back().
 Proposal widen(const std::optional<Plan>& now, unsigned share);
-/// All routers go back to what they had before. Going back twice is going back once.
+/// Returns all routers to the previous text. Rejected if they are back already, so that a repeated
+/// call never brings the text that was withdrawn back.
 Proposal roll_back(const std::optional<Plan>& now);
 
-/// How many of so many routers are meant by a share.
+/// The number of routers in a share, rounded up.
 std::size_t selected_count(unsigned share, std::size_t routers);
-/// Whether `name` is among the first of all `names`, its own among them. Whoever is stays so as the
-/// share grows; which ones they are differs from roll-out to roll-out.
+/// Whether the share of the plan includes router `name`; `names` are all routers, including it. A
+/// selected router stays selected as the share grows. The order differs between roll-outs.
 bool is_selected(const Plan& plan, const std::string& name, const std::vector<std::string>& names);
+/// The text that router `name` should use.
 const Text& target_text(const Plan& plan, const std::string& name,
                         const std::vector<std::string>& names);
 
-/// One router on its way to what is wanted: one step at a time, each after the one before has
-/// ended. What it can't use it refuses once and stays where it is; what its disk did not take it
-/// tries again, ever more seldom.
+/// Moves one router to its target text, one job at a time. A text that the router can't use is
+/// rejected once and the router stays on its current one; a failed write is retried with
+/// exponential backoff.
 class Adopter {
  public:
   static constexpr Micros kMinBackoff = 1'000'000, kMaxBackoff = 60'000'000;
@@ -67,27 +71,32 @@
     std::uint64_t version = 0;  ///< of the ledger's value
     Text text;
   };
+  /// How a job ended.
   enum class End {
     kAdopted,
-    kRefused,  ///< the text can't be used here
+    kRefused,  ///< this router can't use the text
     kFailed,   ///< it could not be written
   };
 
-  /// `has`: the label of what the router acts on, as its files say. To be called at the start, and
-  /// again whenever somebody may have changed them.
+  /// Sets the label of the text that the router's files hold. To be called at the start and
+  /// whenever the files may have been changed by hand.
   void set_current(std::string current);
-  /// As the newest view has it; a view never goes back. Another text than before is not begun with
-  /// before `not_before`, so that not all routers take it over in one moment.
+  /// Sets the target text according to the newest view. A new text is not applied before
+  /// `not_before`, so that the routers do not all switch at the same moment.
   void set_target(std::uint64_t version, const Text& text, Micros not_before);
-  /// What to do now; nothing while one is under way, or has just failed.
+  /// The job to start now; nothing while one is running, or before the backoff of a failed one
+  /// ends.
   std::optional<Job> next(Micros now);
-  /// `random` spreads the tries of many routers: what fills one disk often fills many.
+  /// Ends the current job. `random` adds jitter to the retries: what fills one disk often fills
+  /// many.
   void finish(End end, const std::string& why, Micros now, std::uint64_t random);
 
+  /// The label of the text that the router uses.
   const std::string& current() const { return current_; }
   bool busy() const { return job_.has_value(); }
+  /// Whether the router uses its target text, or has none.
   bool at_target() const { return version_ == 0 || current_ == label(text_); }
-  /// For people and tools: version, what is wanted and had, and why it is not there.
+  /// Status for operators and tools: version, target and current text, and why they differ.
   Json report() const;
 
  private:
--- a/src/core/ledger/state.cpp
+++ b/src/core/ledger/state.cpp
@@ -89,8 +89,8 @@
     if (known->second.number == call->number) return known->second.outcome;
     if (known->second.number > call->number) return {Outcome::Status::kForgotten, 0, {}};
   }
-  // It may have called before and been answered, and the answer be forgotten since: then nobody can
-  // say whether this one is a repeat.
+  // The caller may have made this call before and its record may have been evicted since; then it
+  // can't be told whether this is a repeat.
   if (known == callers_.end() && evicted_at_ > call->known)
     return {Outcome::Status::kForgotten, 0, {}};
   Outcome outcome = change(*call);
--- a/src/core/ledger/view.cpp
+++ b/src/core/ledger/view.cpp
@@ -39,7 +39,7 @@
     bool begun = !update.calls.empty();
     if (!begun && !(k.before == from)) continue;
     if (update.calls.size() == kMaxCallsPerUpdate) {
-      update.to = k.before;  // the rest when it asks again
+      update.to = k.before;  // the rest follows with the next request
       return update;
     }
     update.calls.push_back(k.entry);
@@ -66,7 +66,7 @@
     return UpdateResult::kApplied;
   }
   if (update.calls.empty())
-    return UpdateResult::kUnchanged;  // the other is ahead, and says so alone
+    return UpdateResult::kUnchanged;  // the parent is ahead and only reports its position
   if (!(update.from == position())) return UpdateResult::kMismatch;
   next = state_;
   for (const std::string& call : update.calls) next.apply(call);
--- a/src/core/ledger/view.hpp
+++ b/src/core/ledger/view.hpp
@@ -1,6 +1,6 @@
-// What one router holds of the ledger, and what it gives on to those that follow it: the state, how
-// old it may be, and the last calls, so that who is a little behind need not be given everything.
-// A view never goes back.
+// One router's copy of the ledger, from which it also feeds its followers: the state and the most
+// recent calls, so that a follower that is slightly behind does not need the whole state. A view
+// never moves backwards.
 #pragma once
 
 #include <deque>
@@ -11,21 +11,23 @@
 
 namespace violetusher::core::ledger {
 
+/// A copy of the ledger's state with its recent calls.
 class View {
  public:
-  static constexpr std::size_t kMaxRetainedCalls = 512;       ///< calls kept for those behind
-  static constexpr std::size_t kMaxRetainedBytes = 1u << 20;  ///< of them
-  static constexpr std::size_t kMaxCallsPerUpdate = 64;       ///< calls in one answer
+  static constexpr std::size_t kMaxRetainedCalls = 512;       ///< recent calls kept for followers
+  static constexpr std::size_t kMaxRetainedBytes = 1u << 20;  ///< of recent calls
+  static constexpr std::size_t kMaxCallsPerUpdate = 64;       ///< calls in one update
 
   const State& state() const { return state_; }
   const Position& position() const { return state_.position(); }
 
-  /// Of a keeper: the next call, or all of the state, as its own log has it.
+  /// For a voter: applies the next call, or a snapshot of the whole state, from its own log.
   Outcome apply(std::string_view entry);
   bool reset(std::string_view snapshot);
+  /// Moves to a later epoch; an earlier one is ignored.
   void raise_epoch(std::uint64_t epoch);
 
-  /// What somebody at `from` needs to come up to here: calls after it, or else the whole state.
+  /// What a follower at `from` needs to catch up: the calls after it, or else a snapshot.
   struct Update {
     Position from, to;
     std::vector<std::string> calls;
@@ -35,10 +37,12 @@
   };
   Update since(const Position& from) const;
 
+  /// The result of apply_update().
   enum class UpdateResult { kUnchanged, kApplied, kStale, kMismatch };
-  /// Of a follower: takes what another gives. kNothing: it said nothing new. kOlder: the other is
-  /// behind this one. kUnfit: it doesn't start where this one stands, or its digest tells of
-  /// another history; the whole state is to be asked for. But for kNewer nothing is changed.
+  /// For a follower: applies an update from its parent. kUnchanged: there was nothing new. kStale:
+  /// the parent is behind this view. kMismatch: the update does not start at this position, or its
+  /// digest shows another history; the follower has to request the whole state. The view changes
+  /// only with kApplied.
   UpdateResult apply_update(const Update& update);
 
  private:
--- a/src/daemon/audit/trail_files.cpp
+++ b/src/daemon/audit/trail_files.cpp
@@ -34,12 +34,12 @@
 
 struct FoundFile {
   std::string path;
-  std::uint64_t number = 0;  ///< of its first block, by its name
+  std::uint64_t number = 0;  ///< number of its first block, from its name
   std::int64_t size = 0;
   fs::file_time_type modified;
 };
 
-/// In order. `error`: the folder could not be read, and what is returned is not all of it.
+/// The trail's files, in order. If `error` is set, the folder could not be read completely.
 std::vector<FoundFile> files_in(const std::string& folder, std::error_code& error) {
   std::vector<FoundFile> all;
   error.clear();
@@ -51,7 +51,7 @@
     if (std::sscanf(name.c_str(), "trail-%20lu.log%n", &f.number, &used) != 1 ||
         used != static_cast<int>(name.size()))
       continue;
-    std::error_code gone;  // by its writer, just now
+    std::error_code gone;  // the writer may have just deleted it
     f.size = static_cast<std::int64_t>(entry.file_size(gone));
     f.modified = entry.last_write_time(gone);
     if (gone) continue;
@@ -65,7 +65,7 @@
   std::ifstream in(path, std::ios::binary);
   std::ostringstream text;
   text << in.rdbuf();
-  // An empty file sets the bad bit of `text`, not of `in`.
+  // Copying an empty file sets the bad bit of `text`, not of `in`.
   if (!in.is_open() || in.bad())
     throw fs::filesystem_error("can't be read", path,
                                std::error_code(errno, std::generic_category()));
@@ -90,7 +90,7 @@
     } catch (const fs::filesystem_error&) {
       std::error_code error;
       if (fs::exists(path, error)) throw;
-      continue;  // its writer has just let it go, as the oldest
+      continue;  // the writer has just deleted it as the oldest
     }
     reader.add_file(path, text);
   }
@@ -133,7 +133,7 @@
 
 bool TrailFiles::consume_gap() {
   std::lock_guard guard(mutex_);
-  // Once there is room again: what is said while there is none is lost as well.
+  // Wait until there is room in the queue, or the full view would be dropped as well.
   return queued_ < kMaxPendingBytes / 2 && std::exchange(gap_, false);
 }
 
@@ -161,7 +161,7 @@
     }
     lock.lock();
     if (wrong.empty()) on_disk_ = last_;
-    // What was not taken waits on, before what has come since, and counts against the bound.
+    // Unwritten blocks go back to the front of the queue and count against its bound.
     queue_.insert(queue_.begin(), std::make_move_iterator(batch.begin()),
                   std::make_move_iterator(batch.end()));
     batch.clear();
@@ -186,15 +186,16 @@
     last_ = next;
     batch.pop_front();
   }
-  // A machine that loses its power loses the last batch at most; a killed process nothing of it.
+  // A power failure loses at most the last batch; a killed process loses nothing that was written.
   if (wrong.empty() && file_ && ::fdatasync(file_.get()) != 0) {
     wrong = errno_text(settings_.folder);
-    file_ = net::Fd();  // which of its pages are there nobody knows; what follows is elsewhere
+    file_ = net::Fd();  // unknown which pages were written; continue in another file
   }
   return wrong;
 }
 
-/// What can't be read is what can't be gone on from: the trail then begins anew, past all names.
+/// Finds the end of the existing trail. If no file has a readable block, the numbering continues
+/// after the highest file name and the chain begins anew.
 std::string TrailFiles::find_last_position() {
   last_ = {};
   std::error_code error;
@@ -211,12 +212,12 @@
     last_ = *position;
     break;
   }
-  // Names only grow, so that a file that holds nothing whole is not written over.
+  // File names only increase, so that a file without a complete block is not overwritten.
   if (!all.empty()) last_.number = std::max(last_.number, all.back().number);
   return "";
 }
 
-/// Makes sure that there is a file with room for another block.
+/// Opens the next file if the current one has no room for another block.
 std::string TrailFiles::ensure_open(std::int64_t bytes) {
   std::int64_t file_limit = std::min(settings_.max_bytes / kFileCount, kMaxFileBytes);
   if (file_ && written_ + bytes < file_limit) return "";
@@ -226,7 +227,7 @@
   if (!lock_) {
     net::Fd lock(::open((settings_.folder + "/lock").c_str(), O_RDWR | O_CREAT | O_CLOEXEC, 0644));
     if (!lock) return errno_text(settings_.folder + "/lock");
-    // The process before this one may still be ending; its blocks come first.
+    // The previous process may still be shutting down; its blocks come first.
     if (::flock(lock.get(), LOCK_EX | LOCK_NB) != 0)
       return settings_.folder + ": another process writes there";
     lock_ = std::move(lock);
@@ -247,21 +248,21 @@
   net::Fd file(::open((settings_.folder + name).c_str(),
                       O_WRONLY | O_CREAT | O_EXCL | O_APPEND | O_CLOEXEC, 0644));
   if (!file) {
-    if (errno == EEXIST) ++last_.number;  // somebody else's: one past it at the next try
+    if (errno == EEXIST) ++last_.number;  // taken by another writer: use the next number on retry
     return errno_text(settings_.folder + name);
   }
   file_ = std::move(file);
   written_ = 0;
   std::string wrong = append(line);
   if (!wrong.empty()) {
-    ::unlink((settings_.folder + name).c_str());  // it holds nothing whole
+    ::unlink((settings_.folder + name).c_str());  // it has no complete block
     file_ = net::Fd();
     return wrong;
   }
   last_ = next;
   if (std::exchange(file_started_, true)) {
     std::lock_guard guard(mutex_);
-    gap_ = true;  // files are read alone too: each says all near its beginning
+    gap_ = true;  // files are also read on their own: each has a full view near its start
   }
   return "";
 }
@@ -272,8 +273,8 @@
     if (put < 0 && errno == EINTR) continue;
     if (put <= 0) {
       std::string wrong = errno_text(settings_.folder);
-      // The line is begun anew once there is room; where its part can't be taken back, in another
-      // file.
+      // The line is written again once there is room, in another file if the partial line can't be
+      // truncated.
       if (at > 0 && ::ftruncate(file_.get(), written_) != 0) file_ = net::Fd();
       return wrong;
     }
@@ -283,11 +284,11 @@
   return "";
 }
 
-/// The oldest go until there is room for another whole file.
+/// Deletes the oldest files until there is room for another full file.
 void TrailFiles::delete_old_files() {
   std::error_code unread;
   auto all = files_in(settings_.folder, unread);
-  if (unread) return;  // at the next file
+  if (unread) return;  // retried with the next file
   std::int64_t file_limit = std::min(settings_.max_bytes / kFileCount, kMaxFileBytes),
                sum = file_limit;
   for (const FoundFile& f : all) sum += f.size;
--- a/src/daemon/ledger/libraft.hpp
+++ b/src/daemon/ledger/libraft.hpp
@@ -1,4 +1,4 @@
-// libraft's header (0.15) knows nothing of C++.
+// Includes the header of libraft 0.15, which has no extern "C" guards for C++.
 #pragma once
 
 extern "C" {
--- a/src/daemon/ledger/node.cpp
+++ b/src/daemon/ledger/node.cpp
@@ -15,20 +15,19 @@
 using core::ledger::to_bytes;
 
 constexpr Micros kMs = 1000, kSecond = 1'000'000;
-constexpr Micros kMaxTickGap =
-    300 * kMs;  // without a tick for so long: a tick comes before anything
+constexpr Micros kMaxTickGap = 300 * kMs;  // after a longer gap, frames wait for a tick
 constexpr Micros kAskInterval = 200 * kMs, kFollowInterval = 400 * kMs, kHelloInterval = kSecond;
 constexpr Micros kReconfigureInterval = 300 * kMs, kCallRetryInterval = 250 * kMs,
                  kReopenDelay = kSecond;
-constexpr Micros kParentTimeout = 1500 * kMs;  // without a word from it another one is followed
-constexpr Micros kMaxViewAge =
-    4 * kSecond;  // of a view in quiet: a hop costs kFollowInterval and a half
+constexpr Micros kParentTimeout = 1500 * kMs;  // then another parent is chosen
+// Of an idle group's view; each hop between routers adds up to 1.5 kFollowInterval.
+constexpr Micros kMaxViewAge = 4 * kSecond;
 constexpr Micros kFollowerTimeout = 3 * kSecond, kHelloTimeout = 4 * kSecond;
 constexpr Micros kSilenceTimeout = 1500 * kMs;
-constexpr Micros kLeaderTimeout = 2 * kSecond;  // without a leader for so long it is asked for
+constexpr Micros kLeaderTimeout = 2 * kSecond;  // then the leader counts as lost
 constexpr Micros kSlowCommit = 100 * kMs, kSlowDiskTransferInterval = 10 * kSecond;
 constexpr Micros kMoveTimeout = 20 * kSecond;
-constexpr std::uint64_t kMaxLagEntries = 64;  // entries behind
+constexpr std::uint64_t kMaxLagEntries = 64;  // of a successor's log
 constexpr std::size_t kExtraAskTargets = 8;
 constexpr std::size_t kMaxKnown = 2048, kMaxHellos = 1024, kMaxNames = 8;
 
@@ -62,7 +61,7 @@
 
 Node::~Node() = default;
 
-// ---- opening and giving up ----
+// ---- opening and closing ----
 
 void Node::open() {
   Image image;
@@ -72,26 +71,26 @@
   if (loaded == LoadResult::kUnreadable) {
     reopen_at_ = env_.now() + kReopenDelay;
     env_.log_event("ledger-disk-failed",
-                   "the ledger's files can't be read: " + error + "; tried again");
+                   "the ledger's files can't be read: " + error + "; retrying");
     return;
   }
   if (!open_) {
-    env_.log_event("ledger-disk-spoilt", "the ledger's files can't be trusted: " + error +
-                                             "; they are put aside, their identity goes");
+    env_.log_event("ledger-disk-spoilt", "the ledger's files are corrupt: " + error +
+                                             "; moving them aside and taking a new identity");
     return start_with_new_identity("spoilt");
   }
   std::string fingerprint = storage_.fingerprint();
-  if (fingerprint.empty()) {  // it could not be asked for, which says nothing of the files
+  if (fingerprint.empty()) {  // it could not be read; the files may be good
     open_ = false;
     reopen_at_ = env_.now() + kReopenDelay;
-    env_.log_event("ledger-disk-failed", "the ledger's files can't be looked at; tried again");
+    env_.log_event("ledger-disk-failed", "the ledger's files can't be examined; retrying");
     return;
   }
   if (image.meta.identity != 0 && image.meta.fingerprint != fingerprint &&
       !mutant(Mutant::kOldDiskTrusted)) {
     env_.log_event("ledger-disk-put-back",
-                   "the ledger's files are a copy that was put back; their identity goes");
-    return start_with_new_identity("put back");
+                   "the ledger's files are a restored copy; taking a new identity");
+    return start_with_new_identity("the files were restored from a copy");
   }
   meta_ = image.meta;
   if (meta_.identity == 0) meta_.identity = env_.random() | 1;
@@ -100,7 +99,7 @@
   open_ = commit_meta();
   if (!open_) {
     reopen_at_ = env_.now() + kReopenDelay;
-    env_.log_event("ledger-disk-failed", "the ledger's files can't be written; tried again");
+    env_.log_event("ledger-disk-failed", "the ledger's files can't be written; retrying");
     return;
   }
   image.meta = meta_;
@@ -118,10 +117,10 @@
   close_voter();
   Meta before = meta_;
   if (!storage_.quarantine()) {
-    // It must not go on as who it was, and can't be anyone else.
+    // It must not continue under the old identity, and can't take a new one.
     open_ = false;
     reopen_at_ = env_.now() + 5 * kSecond;
-    env_.log_event("ledger-disk-failed", "the ledger's files can't be put aside; tried again");
+    env_.log_event("ledger-disk-failed", "the ledger's files can't be moved aside; retrying");
     return;
   }
   Image image;
@@ -135,11 +134,11 @@
   meta_.fingerprint = storage_.fingerprint();
   if (mutant(Mutant::kIdentityOutlivesDisk) && before.identity) meta_.identity = before.identity;
   std::vector<Op> extra_ops;
-  // What it has shown it goes on showing, with its disk as it was a moment ago.
+  // The view that others have seen is kept.
   if (view_.position().at > 0) extra_ops.push_back(Op::view(view_.state().snapshot()));
   open_ = open_ && !meta_.fingerprint.empty() && commit_meta(std::move(extra_ops));
   if (!open_) reopen_at_ = env_.now() + kReopenDelay;
-  env_.log_event("ledger-new-identity", "ledger: begins anew (" + why + ")");
+  env_.log_event("ledger-new-identity", "ledger: started with a new identity (" + why + ")");
 }
 
 bool Node::commit_meta(std::vector<Op> extra_ops) {
@@ -216,18 +215,20 @@
   return f;
 }
 
-/// Whether a router's frame is one of this group, as it is now, from who still is who it was.
+/// Whether to process a router's frame: it must be of the current group and epoch, and from the
+/// sender's current process. Adopts a newer epoch.
 bool Node::admit(const Frame& f) {
   if (!settings_.peers.count(f.name) || f.identity == 0) return false;
   if (f.group == 0 || meta_.group == 0) {
-    // One of both is new here. It is told of the group by being fed, or by being asked to keep.
+    // One of the two routers has no group yet. It learns of the group when it is fed or made a
+    // voter.
     if (meta_.group != 0 || f.group == 0) return true;
     return f.kind == "feed" || f.kind == "hint" || f.kind == "ask" ||
            (f.kind == "raft" && f.to == meta_.identity);
   }
   if (f.group != meta_.group) return false;
   if (f.epoch < meta_.epoch) {
-    // It does not know yet that the group was rescued.
+    // The sender does not know yet that the group was rescued.
     if (f.kind != "hint") reply_to(f, "hint", {{"leader", leader()}});
     return false;
   }
@@ -235,12 +236,12 @@
     env_.log_event("ledger-epoch", "the ledger's epoch is now " + std::to_string(f.epoch));
     meta_.epoch = f.epoch;
     if (meta_.voter)
-      start_with_new_identity("the group was rescued without this one");
+      start_with_new_identity("the group was rescued without this router");
     else
       commit_meta();
   }
   KnownPeer& known = known_peers_[f.identity];
-  if (f.boot < known.boot) return false;  // said before its last start
+  if (f.boot < known.boot) return false;  // sent before its last start
   known.boot = f.boot;
   known.last_heard = env_.now();
   known.commit_us = static_cast<Micros>(f.commit_us);
@@ -253,7 +254,7 @@
 }
 
 void Node::on_frame(const std::string& bytes, std::uint64_t link) {
-  // Whoever was frozen finds out first how long: a leader that no longer is one, a view's age.
+  // After a stall, first run a tick to notice lost leadership and the age of the view.
   if (env_.now() - last_tick_ > kMaxTickGap) tick();
   auto f = read(bytes, link);
   if (!f || (!open_ && f->kind != "status")) return;
@@ -295,15 +296,15 @@
     }
     Image image;
     image.meta = meta_;
-    env_.log_event("ledger-keeps", settings_.name + " is made a keeper");
+    env_.log_event("ledger-keeps", settings_.name + " becomes a voter");
     open_voter(std::move(image));
-    voter_->vouch();  // its identity is new, and has promised nothing
+    voter_->vouch();  // its identity is new and has acknowledged nothing
   }
   voter_->receive(f.identity, raft_address(f.name, f.identity), f.body);
   update_view_from_log();
 }
 
-/// Somebody wants to know whether its disk is an old one.
+/// Another router asks for its rejoin check.
 void Node::on_ask(const Frame& f) {
   Json voters = Json::array();
   std::uint64_t index = 0;
@@ -338,8 +339,8 @@
   bool member = std::any_of(members.begin(), members.end(),
                             [&](const RaftMember& m) { return m.identity == f.identity; });
   if (member) return;
-  // Who kept once and was removed comes again as who it is: its disk is all there, and nobody else
-  // may take an identity away, since a leader that knows less could still add it.
+  // A former member that was removed returns with its old identity: its disk is intact, and an
+  // identity must not be revoked by others, since a leader with an older log could still add it.
   if (hellos_.size() >= kMaxHellos && !hellos_.count(f.name)) return;
   Hello& hello = hellos_[f.name];
   if (hello.candidate.identity != f.identity) hello = {};
@@ -368,11 +369,11 @@
   if (outcome) set_outcome(number(f.body, "id"), *outcome, number(f.body, "at"));
 }
 
-// ---- those without a name: operators' tools ----
+// ---- operators' tools, which have no name ----
 
 Json Node::create_group() {
   if (meta_.group != 0)
-    return {{"error", "there is a group already, of epoch " + std::to_string(meta_.epoch)}};
+    return {{"error", "there already is a group, with epoch " + std::to_string(meta_.epoch)}};
   meta_.group = env_.random() | 1;
   meta_.epoch = 1;
   meta_.voter = true;
@@ -381,7 +382,7 @@
   if (!commit_meta({Op::with_number(Op::Kind::kTerm, 1), Op::append({1, 1, RAFT_CHANGE, alone})})) {
     meta_.group = meta_.epoch = 0;
     meta_.voter = false;
-    return {{"error", "the disk took nothing"}};
+    return {{"error", "the ledger's files can't be written"}};
   }
   Image image;
   std::string error;
@@ -409,7 +410,7 @@
   }
   if (f.kind == "move") return reply_to(f, "move", move(f.body));
   if (f.kind == "view") {
-    // What this router acts on, which may be old; it says how old.
+    // The view that this router acts on, with its age.
     Json values = Json::object();
     for (const auto& [name, v] : view_.state().values())
       values[name] = {{"text", v.text}, {"version", v.version}, {"by", v.by}};
@@ -491,7 +492,7 @@
 
 bool Node::recent() const { return fresh_at_ >= 0 && age() < kMaxViewAge; }
 
-/// A keeper's own log comes before what others feed it.
+/// A voter's own log takes precedence over updates from others.
 void Node::update_view_from_log() {
   if (!voter_ || voter_->stage() != Voter::Stage::kRunning) return;
   const View& own = voter_->view();
@@ -500,8 +501,8 @@
     fresh_at_ = std::max(fresh_at_, voter_->last_leader_contact());
 }
 
-/// Takes an update, first on the disk and then for others to see: a view that was seen must not be
-/// gone after a restart. False where nothing newer came of it.
+/// Applies an update, first to the disk and then to the visible view: a view that others have seen
+/// must survive a restart. False if the view did not change.
 bool Node::apply_view_update(const View::Update& update) {
   View next = view_;
   auto taken = next.apply_update(update);
@@ -509,7 +510,7 @@
   if (taken != View::UpdateResult::kApplied) return false;
   if (!storage_.commit({Op::view(next.state().snapshot())})) {
     env_.log_event("ledger-disk-failed",
-                   "the ledger's files take no more; this router stays at what it has");
+                   "the ledger's files can't be written; this router keeps its current view");
     return false;
   }
   view_ = std::move(next);
@@ -548,7 +549,7 @@
   if (!said.empty() && !(voter_ && voter_->is_leader())) leader_ = said;
   if (f.name != parent_) return;
   if (f.body.contains("full")) {
-    // One of those that it feeds has room, or knows who has.
+    // One of the followers that it named has room, or names others.
     const Json& names = f.body["full"];
     parent_.clear();
     if (names.is_array() && !names.empty() && names[env_.random() % names.size()].is_string()) {
@@ -565,10 +566,10 @@
   bool newer = apply_view_update(*update);
   if (view_.position() == update->to && flag(f.body, "fresh"))
     fresh_at_ = std::max(fresh_at_, env_.now() - static_cast<Micros>(number(f.body, "age")));
-  // Two that follow each other, cut off from the rest, agree for ever: what counts is whether the
-  // parent's view is a recent one, or brings this one on.
+  // Two routers that follow each other while cut off from the rest would agree forever. So a parent
+  // counts as alive only if its view is recent or newer than this one.
   if (newer || recent()) parent_alive_at_ = env_.now();
-  // More than one answer's worth, or from another place than where this one stands.
+  // There is more than one update to fetch, or the update did not start at this position.
   if ((newer && view_.position().before(update->to)) ||
       update->calls.size() == View::kMaxCallsPerUpdate || full_state_needed_)
     next_follow_ = env_.now();
@@ -589,13 +590,12 @@
   send(parent_, "follow", {{"at", at.json()}});
 }
 
-/// What this router tells of itself, with what it acts on, goes to others in case it is lost with
-/// its disk.
+/// Sends this router's summary to others, in case it is lost with its disk.
 void Node::replicate_summary() {
   if (settings_.summary_holders == 0 || meta_.group == 0) return;
   auto targets = summaries_.next_targets(env_.now());
   if (targets.empty()) return;
-  // Past the numbers of the life before, which are not kept.
+  // The boot count keeps numbers above those from before a restart, which are not stored.
   Json body{{"number", meta_.boot << 32 | ++summary_number_}, {"said", extra_status_}};
   body["said"]["age_us"] = age();
   for (const std::string& name : targets) send(name, "summary", body);
@@ -634,7 +634,7 @@
 
 void Node::tick() {
   Micros now = env_.now();
-  // Nobody was silent in a time that this one has not lived through.
+  // Members can't be considered silent during a stall of this process.
   if (now - last_tick_ > kMaxTickGap && leading_since_ != 0) leading_since_ = now;
   last_tick_ = now;
   if (!open_) {
@@ -648,13 +648,13 @@
   if (voter_) {
     voter_->tick();
     if (voter_->stage() == Voter::Stage::kStaleDisk) {
-      start_with_new_identity("an old disk");
+      start_with_new_identity("the disk is an old copy");
     } else if (voter_->stage() == Voter::Stage::kReopen) {
-      env_.log_event("ledger-again", "the ledger's members of a lost leader are dropped");
+      env_.log_event("ledger-again", "dropped an uncommitted membership change of a former leader");
       close_voter();
       open();
     } else if (voter_->stage() == Voter::Stage::kFailed) {
-      env_.log_event("ledger-disk-failed", "the ledger's files failed; opened again in a second");
+      env_.log_event("ledger-disk-failed", "the ledger's files failed; reopening in a second");
       close_voter();
       open_ = false;
       reopen_at_ = now + kReopenDelay;
@@ -677,7 +677,7 @@
     next_ask_ = now + kAskInterval;
     std::set<std::string> targets{leader()};
     for (const RaftMember& m : voter_->members()) targets.insert(name_in(m.address));
-    // And some of the rest: the disk may name nobody who still keeps.
+    // Ask some other routers too: the disk may list no current voter.
     for (std::size_t i = 0; i < kExtraAskTargets; ++i) targets.insert(random_peer());
     for (const std::string& name : targets) send(name, "ask", Json::object());
   }
@@ -711,7 +711,7 @@
   }
   if (leading_since_ == 0) {
     leading_since_ = now;
-    hellos_.clear();  // what was said to an earlier leader may have been overtaken
+    hellos_.clear();  // those sent to an earlier leader may be outdated
   }
   if (now < next_reconfigure_ || voter_->changing()) return;
   next_reconfigure_ = now + kReconfigureInterval;
@@ -724,8 +724,8 @@
       it = hellos_.erase(it);
       continue;
     }
-    // One that says that it is another by the name of a member: believed once it has said so for a
-    // while and the member has said nothing. A hello that was long under way is not enough.
+    // A hello with a member's name and another identity counts only if it has been repeated for a
+    // while and the member is silent. A single delayed hello is not enough.
     const Hello& h = it->second;
     bool unconfirmed = std::any_of(all.begin(), all.end(), [&](const auto& m) {
       if (m.name != h.candidate.name) return false;
@@ -749,8 +749,8 @@
   }
 }
 
-/// A leader whose disk has become slow makes every promise slow. Another leads, where one has a
-/// disk that is clearly better and is as far.
+/// A leader with a slow disk delays every commit. Transfers leadership to a voter with a much
+/// faster disk that has nearly caught up, if there is one.
 bool Node::transfer_from_slow_disk() {
   Micros now = env_.now();
   if (storage_.mean_commit_us() < kSlowCommit ||
@@ -773,28 +773,27 @@
   slow_disk_transfer_at_ = now;
   env_.log_event("ledger-slow-disk", "a commit takes " +
                                          std::to_string(storage_.mean_commit_us() / 1000) +
-                                         " ms; another leads the ledger");
+                                         " ms; transferring leadership");
   voter_->transfer_leadership(to);
   return true;
 }
 
-/// One keeper is to give its place to another router.
+/// Handles an operator's request to replace one voter by another router.
 Json Node::move(const Json& body) {
   std::string from = text(body, "from"), to = text(body, "to");
   if (!voter_ || !voter_->is_leader()) return {{"leader", leader()}};
   auto all = members();
   if (move_ &&
       std::any_of(all.begin(), all.end(), [&](const auto& m) { return m.name == move_->from; }))
-    return {{"error", "a move is under way: " + move_->from + " to " + move_->to}};
+    return {{"error", "a move is in progress: " + move_->from + " to " + move_->to}};
   auto hello = hellos_.find(to);
   auto candidate = hello == hellos_.end() ? std::nullopt : std::optional(hello->second.candidate);
   std::string why = core::ledger::move_error({from, to}, settings_.voters, all, candidate);
   if (!why.empty()) return {{"error", why}};
-  if (!candidate)
-    return {{"again", "'" + to + "' has not said lately that it may be made a keeper"}};
+  if (!candidate) return {{"again", "'" + to + "' has not offered recently to become a voter"}};
   if (from == settings_.name) {
     voter_->transfer_leadership();
-    return {{"again", "it leads; another does now"}};
+    return {{"again", "'" + from + "' is the leader and is handing over leadership"}};
   }
   move_ = core::ledger::Move{from, to};
   move_deadline_ = env_.now() + kMoveTimeout;
@@ -837,7 +836,7 @@
     if (auto it = pending_.find(id); it != pending_.end()) finish(id, it->second.outcome, "");
   for (std::uint64_t id : expired)
     finish(id, std::nullopt,
-           "no answer from a majority of the ledger's keepers; whether it holds is not known");
+           "no answer from a majority of the ledger's voters; whether it took effect is unknown");
   for (std::uint64_t id : ready)
     if (auto it = pending_.find(id); it != pending_.end()) send_call(id, it->second);
 }
@@ -855,13 +854,13 @@
     return update_view_from_log();
   }
   std::string to = leader();
-  // A leader that did not answer may be none any more.
+  // A leader that did not answer may have lost leadership.
   if (to.empty() || (to == p.target && env_.random() % 2 == 0)) to = random_peer();
   p.target = to;
   send(to, "call", {{"id", id}, {"call", p.call.json()}});
 }
 
-/// The outcome is known. It is told once this router acts on it too.
+/// Stores the outcome of a call. It is reported once this router's view includes it.
 void Node::set_outcome(std::uint64_t id, const Outcome& outcome, std::uint64_t at) {
   auto it = pending_.find(id);
   if (it == pending_.end()) return;
--- a/src/daemon/ledger/node.hpp
+++ b/src/daemon/ledger/node.hpp
@@ -1,6 +1,6 @@
-// One router's part of the ledger, whatever it is at the moment: a keeper, one that follows, or one
-// that is about to be either. Driven from outside by frames, calls and ticks on a clock that may be
-// the machine's or a test's; no sockets, threads or files of its own.
+// One router's part of the ledger, in its current role: a voter, a follower, or a router about to
+// become one. Driven by frames, calls and ticks on a real or simulated clock; it has no sockets,
+// threads or files of its own.
 #pragma once
 
 #include <deque>
@@ -17,62 +17,69 @@
 
 namespace violetusher::ledger {
 
-inline constexpr std::uint64_t kFrameVersion = 1;  ///< one newer is heard too
+inline constexpr std::uint64_t kFrameVersion = 1;  ///< the next version is accepted too
 
+/// Settings of a node.
 struct NodeSettings {
-  std::uint64_t version = kFrameVersion;  ///< that it speaks
-  std::string fleet;                      ///< frames of another one are not heard
+  std::uint64_t version = kFrameVersion;  ///< of the frames it sends
+  std::string fleet;                      ///< frames of other fleets are ignored
   std::string name, zone;
-  std::map<std::string, std::string> peers;  ///< the other routers' names and halls
-  bool may_vote = false;                     ///< whether this one may be made a keeper
-  std::size_t voters = 3;                    ///< how many are to vote
-  std::size_t followers = 64;                ///< that one router feeds
-  Micros replace_after = 60'000'000;         ///< a keeper that is gone for so long gives way
-  std::size_t summary_holders = 0;           ///< others that hold what status() last said
+  std::map<std::string, std::string> peers;  ///< names and zones of the other routers
+  bool may_vote = false;                     ///< whether this router may become a voter
+  std::size_t voters = 3;                    ///< target number of voters
+  std::size_t followers = 64;                ///< most followers of one router
+  Micros replace_after = 60'000'000;         ///< a voter silent for so long is replaced
+  std::size_t summary_holders = 0;           ///< routers that hold this one's summary
   Timing timing;
 };
 
+/// A router's role in the ledger: voter or follower.
 class Node {
  public:
-  static constexpr Micros kCallTimeout = 950'000;  ///< then a call is told that nothing is known
+  static constexpr Micros kCallTimeout = 950'000;  ///< then a call ends with an unknown outcome
   static constexpr std::size_t kMaxCalls = 256;
 
+  /// What the node needs from its host.
   class Environment {
    public:
     virtual ~Environment() = default;
     virtual Micros now() = 0;  ///< monotonic
     virtual std::uint64_t random() = 0;
     virtual void send(const std::string& name, std::string frame) = 0;
-    /// To whoever has no name; `link` is the one that on_frame() was called with.
+    /// Sends to a client without a name; `link` is the one that on_frame() was called with.
     virtual void reply(std::uint64_t link, std::string frame) = 0;
-    /// What this router is to act on has changed.
+    /// The view that this router acts on has changed.
     virtual void on_view(const View& view) = 0;
     virtual void log_event(const std::string& event, const std::string& text) = 0;
   };
+  /// Receives the outcome of a call, or nothing and the reason why it is unknown.
   using Done = std::function<void(std::optional<Outcome>, const std::string& why)>;
 
-  /// All outlives it. Opens what the storage holds.
+  /// Opens the storage. `storage` and `env` must outlive the node.
   Node(Storage& storage, const NodeSettings& settings, Environment& env);
   ~Node();
 
+  /// To be called every few tens of milliseconds.
   void tick();
-  /// `link`: of a caller that is no router, else 0.
+  /// Processes a frame. `link`: identifies a client that is not a router, else 0.
   void on_frame(const std::string& frame, std::uint64_t link);
-  /// Puts or takes away one value. `call`'s caller and number are filled in.
+  /// Writes or erases one value. The caller and number of `call` are filled in.
   void call(Call call, Done done);
-  /// Ends: hands leading over where it can.
+  /// Hands over leadership, if this node leads, before a shutdown.
   void transfer_leadership();
 
   const View& view() const { return view_; }
-  /// How old the view may be; negative where that is not known.
+  /// The maximum age of the view; negative if unknown.
   Micros age() const;
   /// Whether the view is known to be at most a few seconds old.
   bool recent() const;
+  /// The node's state, for operators and tools.
   Json status();
-  /// More to say in status(), under `key`.
+  /// Adds a field to status().
   void set_status_field(const std::string& key, Json value) {
     extra_status_[key] = std::move(value);
   }
+  /// The Raft member at this router; null while it only follows.
   const Voter* voter() const { return voter_.get(); }
   const Meta& meta() const { return meta_; }
 
@@ -88,14 +95,14 @@
     Done done;
     Micros deadline = 0, next_attempt = 0;
     std::string target;
-    std::optional<Outcome> outcome;  ///< known, and told once the view is at `committed_at`
+    std::optional<Outcome> outcome;  ///< reported once the view reaches `committed_at`
     std::uint64_t committed_at = 0;
   };
   struct KnownPeer {
     LogPosition position;
     std::uint64_t boot = 0;
     Micros last_heard = 0;
-    Micros commit_us = 0;  ///< mean of its commits
+    Micros commit_us = 0;  ///< mean commit time
   };
   struct Follower {
     Micros last_heard = 0;
@@ -106,7 +113,7 @@
     Micros first_heard = 0, last_heard = 0;
   };
 
-  // Opening and giving up.
+  // Opening and closing.
   void open();
   void start_with_new_identity(const std::string& why);
   bool commit_meta(std::vector<Op> extra_ops = {});
@@ -130,7 +137,7 @@
   void on_client(const Frame& f);
   void on_summary(const Frame& f);
   Json create_group();
-  // Time.
+  // Periodic work.
   void ask();
   void follow();
   void reconfigure();
@@ -159,23 +166,23 @@
   View view_;
   core::audit::SummaryReplication summaries_;
   std::unique_ptr<Voter> voter_;
-  std::map<std::uint64_t, KnownPeer> known_peers_;  // identities heard of
+  std::map<std::uint64_t, KnownPeer> known_peers_;  // by identity
   std::map<std::string, Follower> followers_;
   std::map<std::string, Hello> hellos_;
   std::map<std::uint64_t, Pending> pending_;
-  std::deque<std::pair<Call, Done>> queue_;  // own calls that wait for the one before
+  std::deque<std::pair<Call, Done>> queue_;  // own calls waiting for the previous one
   std::uint64_t caller_, last_call_number_ = 0, own_pending_ = 0, position_at_start_ = 0;
-  /// Of calls on their way; from another place at each start, so that an answer to a call of the
-  /// life before is nobody's.
+  /// Of pending calls. Starts at a random value, so that an answer to a call from before a restart
+  /// matches none.
   std::uint64_t next_id_;
   std::string leader_, parent_;
-  Micros fresh_at_ = -1;  // when the view was known to be the newest; -1 = never
+  Micros fresh_at_ = -1;  // when the view was last known to be current; -1: never
   Micros last_tick_ = 0, next_ask_ = 0, next_follow_ = 0, next_hello_ = 0, next_reconfigure_ = 0;
   std::optional<core::ledger::Move> move_;
   Micros move_deadline_ = 0, slow_disk_transfer_at_ = 0;
   Micros leading_since_ = 0, reopen_at_ = 0, parent_alive_at_ = 0;
-  bool open_ = false, full_state_needed_ =
-                          false;  // `full_state_needed_`: the next follow asks for all of the state
+  // `full_state_needed_`: the next follow requests the whole state
+  bool open_ = false, full_state_needed_ = false;
 };
 
 }  // namespace violetusher::ledger
--- a/src/daemon/ledger/raft_port.cpp
+++ b/src/daemon/ledger/raft_port.cpp
@@ -13,7 +13,7 @@
 using core::ledger::mutant;
 using core::ledger::Mutant;
 
-constexpr std::size_t kMaxEntries = 4096;  // of one message
+constexpr std::size_t kMaxEntries = 4096;  // in one message
 constexpr char kMembersVersion = 1;
 
 bool consume_number(std::string_view& in, std::uint64_t& n) {
@@ -34,7 +34,7 @@
 
 std::string_view text(const raft_buffer& b) { return {static_cast<const char*>(b.base), b.len}; }
 
-/// Entries as raft takes them over: one piece of memory for all of their bytes.
+/// Entries in the form whose ownership Raft takes: one allocation holds the bytes of all of them.
 raft_entry* make_entries(const std::vector<LogEntry>& from) {
   if (from.empty()) return nullptr;
   std::size_t size = 0;
@@ -103,7 +103,7 @@
   }
 }
 
-/// False where the value is no message; then nothing was allocated.
+/// Decodes a message. False if the value is not one; then nothing has been allocated.
 bool decode(const Json& v, raft_message& m) {
   m.type = v.at(0).get<unsigned short>();
   auto number = [&](std::size_t i) { return v.at(i).get<std::uint64_t>(); };
@@ -236,7 +236,7 @@
     of(io).receive_ = receive;
     return 0;
   };
-  // A group begins, and is rescued, by what is written before raft starts.
+  // Groups are created and rescued by writing the storage before Raft starts.
   io_.bootstrap = [](raft_io*, const raft_configuration*) { return int{RAFT_CANTBOOTSTRAP}; };
   io_.recover = [](raft_io*, const raft_configuration*) { return int{RAFT_CANTBOOTSTRAP}; };
   io_.set_term = [](raft_io* io, raft_term term) {
@@ -299,7 +299,7 @@
   if (ops.empty()) return true;
   if (failed_) return false;
   if (mutant(Mutant::kTrimBeforeSnapshot) && delayed_.empty()) {
-    // What the fault does: the log goes at once, and what replaces it with the next write.
+    // The injected fault: the log is trimmed at once, its snapshot is written with the next commit.
     std::vector<Op> first;
     bool later = false;
     for (const Op& op : ops) {
@@ -340,8 +340,8 @@
   return true;
 }
 
-/// libraft 0.15 crashes where a term or a vote can't be written. So it is never told: once a write
-/// has failed nothing of it leaves this port any more, and it is closed.
+/// libraft 0.15 crashes if a term or a vote can't be written. So failures are not reported to it:
+/// after a failed write the port sends nothing more and is closed.
 int RaftPort::commit_now(std::vector<Op>&& ops) {
   write(ops);
   return 0;
@@ -381,7 +381,7 @@
   if (mutant(Mutant::kSnapshotLosesIndex)) ++put.snapshot.index;
   PendingOps waiting{{std::move(put)}, [request, done](int status) { done(request, status); }};
   if (trailing == 0) {
-    // It came from the leader and stands for the whole log.
+    // A snapshot from the leader replaces the whole log.
     waiting.ops.push_back(Op::with_number(Op::Kind::kTruncate, 0));
     next_index_ = snapshot.index + 1;
   } else if (snapshot.index > trailing) {
@@ -434,9 +434,9 @@
     if (early)
       delayed_.insert(delayed_.end(), ops.begin(), ops.end());
     else
-      write(ops);  // one sync for all that has come together
+      write(ops);  // one sync for the whole batch
     if (failed_) {
-      // Raft hears of it when it is closed.
+      // Raft gets the failure when the port is closed.
       pending_.insert(pending_.begin(), std::make_move_iterator(waiting.begin()),
                       std::make_move_iterator(waiting.end()));
       break;
@@ -479,9 +479,9 @@
   receive_(&io_, &message);
 }
 
-/// Whether a message tells only of what a snapshot here has replaced. libraft 0.15 takes such
-/// entries for new ones and puts them behind its log, and installs such a snapshot over a newer
-/// one. What an append has beyond that is kept, from an entry on that is known here.
+/// Removes entries that a local snapshot already covers; true if nothing remains of the message.
+/// libraft 0.15 would append such entries to its log as new ones, and would install an older
+/// snapshot over a newer one. The remaining entries follow one that is in the local log.
 bool RaftPort::strip_snapshotted(raft_message& message) {
   std::uint64_t covered = image_.snapshot ? image_.snapshot->index : 0;
   if (message.type == RAFT_IO_INSTALL_SNAPSHOT) {
@@ -508,7 +508,7 @@
   return false;
 }
 
-/// The first entry on the disk that the message's would replace; 0 where there is none.
+/// The index of the first entry on the disk that conflicts with the message; 0 if there is none.
 std::uint64_t RaftPort::conflict(const raft_message& message) const {
   const auto& a = message.append_entries;
   if (a.term < position_.term || image_.log.empty()) return 0;
@@ -517,7 +517,7 @@
     return index < first || index - first >= image_.log.size() ? 0 : image_.log[index - first].term;
   };
   std::uint64_t before = term_at(a.prev_log_index);
-  if (before != 0 && before != a.prev_log_term) return 0;  // it will be refused
+  if (before != 0 && before != a.prev_log_term) return 0;  // Raft will reject it
   for (unsigned i = 0; i < a.n_entries; ++i) {
     std::uint64_t index = a.prev_log_index + 1 + i, own = term_at(index);
     if (own != 0 && own != a.entries[i].term) return index;
@@ -527,7 +527,7 @@
 
 void RaftPort::replace_configuration_entry(std::uint64_t from, const raft_message& message) {
   const auto& a = message.append_entries;
-  // With what comes in its place, all at once: the end of a log never goes back.
+  // In one commit with the new entries: the end of a log must never move backwards.
   std::vector<Op> ops;
   if (a.term > position_.term) ops.push_back(Op::with_number(Op::Kind::kTerm, a.term));
   ops.push_back(Op::with_number(Op::Kind::kTruncate, from));
--- a/src/daemon/ledger/raft_port.hpp
+++ b/src/daemon/ledger/raft_port.hpp
@@ -1,6 +1,5 @@
-// libraft's I/O, filled by us: what it stores goes to a Storage, what it sends becomes values for
-// the links, and time and randomness come in from whoever owns the port. Nothing here knows of
-// threads, sockets or files.
+// Implementation of libraft's I/O interface: it writes to a Storage, sends messages as JSON values,
+// and gets time and randomness from its owner. Independent of threads, sockets and files.
 #pragma once
 
 #include <cstdint>
@@ -20,48 +19,52 @@
 using core::ledger::LogPosition;
 using Micros = std::int64_t;
 
+/// A member in a Raft configuration.
 struct RaftMember {
   std::uint64_t identity = 0;
   std::string address;
   int role = RAFT_VOTER;
 };
-/// Reads what raft_configuration_encode() writes; empty where it is none.
+/// Decodes what raft_configuration_encode() writes; empty if it is not a configuration.
 std::vector<RaftMember> read_members(std::string_view bytes);
+/// Encodes a configuration as libraft does.
 std::string write_members(const std::vector<RaftMember>& members);
-/// The members that the image's log ends with, and where it says so.
+/// The latest configuration in an image, and the index of its log entry.
 struct Members {
   std::uint64_t index = 0;
   std::vector<RaftMember> list;
 };
 Members members_of(const Image& image);
 
+/// Connects one libraft instance to its storage and its links.
 class RaftPort {
  public:
+  /// What the port needs from its owner.
   struct Environment {
     std::function<Micros()> now;
     std::function<std::uint64_t()> random;
     std::function<void(std::uint64_t to, const std::string& address, Json&& message)> send;
-    std::function<std::uint64_t()> members_index;  ///< of the entry that says who keeps
+    std::function<std::uint64_t()> members_index;  ///< of the latest configuration entry
   };
 
-  /// `image` is what the storage holds. All that is given outlives the port.
+  /// `image` is the content of the storage. The storage must outlive the port.
   RaftPort(Storage& storage, Image&& image, const LogPosition& floor, Environment env);
 
   raft_io* io() { return &io_; }
   void tick();
-  /// Where a leader's entries replace one that says who keeps, libraft 0.15 goes wrong: if the
-  /// entry before it is in a snapshot it reads what is no more there and crashes, and after a start
-  /// it goes on with members that were never agreed on. So that is done here, on the disk, and raft
-  /// is opened anew.
+  /// Processes a message. libraft 0.15 fails when a leader's entries replace a configuration entry:
+  /// if the preceding one is covered by a snapshot, it reads an entry that is gone and crashes;
+  /// after a restart it continues with an uncommitted configuration. So such a replacement is
+  /// written to the disk here, and Raft is reopened.
   void receive(std::uint64_t from, const std::string& address, const Json& message);
-  /// Writes what is waiting and tells raft, until nothing waits. False once the storage has failed:
-  /// then nothing more is done, and the raft that uses this is to be closed.
+  /// Writes pending operations and completes their requests until none are left. False once the
+  /// storage has failed: then no more is written, and the Raft instance has to be closed.
   bool flush();
-  /// Nothing is wrong with the disk, but raft is to be opened anew from it; see receive().
+  /// The disk is good, but Raft has to be reopened from it; see receive().
   bool reopen_needed() const { return reopen_needed_; }
-  /// Votes are given by this log alone from now on.
+  /// From now on votes depend on this log alone.
   void clear_floor() { floor_ = {}; }
-  /// What is on the disk.
+  /// The position on the disk.
   const LogPosition& log_position() const { return position_; }
 
  private:
@@ -86,14 +89,14 @@
   bool strip_snapshotted(raft_message& message);
   std::uint64_t conflict(const raft_message& message) const;
   void replace_configuration_entry(std::uint64_t from, const raft_message& message);
-  Image image_;  // its log without the entries' bytes, as it is on the disk
+  Image image_;  // as on the disk, without the bytes of log entries
   Environment env_;
   LogPosition position_, floor_;
   raft_io io_{};
   raft_io_tick_cb tick_ = nullptr;
   raft_io_recv_cb receive_ = nullptr;
   std::vector<PendingOps> pending_;
-  std::vector<Op> delayed_;  // of a planted fault alone
+  std::vector<Op> delayed_;  // used by injected faults only
   std::uint64_t next_index_ = 1;
   bool failed_ = false, reopen_needed_ = false;
 };
--- a/src/daemon/ledger/rescue.cpp
+++ b/src/daemon/ledger/rescue.cpp
@@ -11,7 +11,7 @@
 
 using core::ledger::State;
 
-/// The state that the whole of the image's log makes, and where it ends.
+/// Replays the whole log of an image into `state`; `end` is the position that it reaches.
 bool replay(const Image& image, State& state, LogPosition& end) {
   std::uint64_t from = 0;
   if (image.snapshot) {
@@ -36,14 +36,14 @@
   State state;
   LogPosition end;
   if (!image.meta.voter || image.meta.group == 0) {
-    error = "no keeper's";
+    error = "these are not the files of a voter";
     return {};
   }
   if (!replay(image, state, end)) {
     error = "its snapshot can't be read";
     return {};
   }
-  // A router may have been shown more than its log has: what it follows is newer then.
+  // The view may be newer than the voter's own log, if it was fed by others.
   State shown;
   bool newer =
       !image.view.empty() && shown.restore(image.view) && state.position().before(shown.position());
@@ -63,9 +63,9 @@
   rescue.report = {
       {"epoch", meta.epoch},
       {"keeps", {{"values", state.values().size()}, {"position", state.position().at}}},
-      {"from", newer ? "the state that it last showed" : "its own log"},
-      {"may_be_lost", "every promise made after position " + std::to_string(state.position().at) +
-                          " by keepers that this disk had not heard of yet"}};
+      {"from", newer ? "its last view" : "its own log"},
+      {"may_be_lost", "calls committed after position " + std::to_string(state.position().at) +
+                          " that had not reached this disk"}};
   return rescue;
 }
 
--- a/src/daemon/ledger/rollout_file.cpp
+++ b/src/daemon/ledger/rollout_file.cpp
@@ -15,7 +15,7 @@
 
 namespace fs = std::filesystem;
 
-/// Whole and on the disk under its name, or not there. Why not; empty where it is.
+/// Writes a file atomically and syncs it. Returns the error, or an empty string.
 std::string write_atomically(const std::string& path, const std::string& text) {
   std::string temporary = path + ".half";
   net::Fd fd(::open(temporary.c_str(), O_WRONLY | O_CREAT | O_TRUNC | O_CLOEXEC, 0644));
@@ -59,7 +59,7 @@
   net::CallStatus own_status;
   std::string own_why = net::read_regular_file(path_ + ".own", own, &own_status);
   if (own_status.error == ENOENT) {
-    // The first roll-out that this file sees. What it holds is the router's own.
+    // This is the first roll-out of this file: it holds the router's own text.
     why = write_atomically(path_ + ".own", there);
     own = there;
   } else if (!own_status.done()) {
@@ -82,7 +82,7 @@
 void RolloutFile::finish(const core::ledger::Text& text) {
   sync_folder(path_);
   ::unlink((path_ + ".before").c_str());
-  // On its own again it is the router's to change by hand.
+  // With its own text back, the file may be changed by hand again.
   if (!text) ::unlink((path_ + ".own").c_str());
 }
 
--- a/src/daemon/ledger/rollout_file.hpp
+++ b/src/daemon/ledger/rollout_file.hpp
@@ -1,8 +1,8 @@
-// A file whose text the fleet brings up to date, on this router's disk. What is there at any moment
-// is one whole text or the other; beside it lie, while they are needed:
-//   FILE.own     what it held before the first roll-out
-//   FILE.next    the text that is to come
-//   FILE.before  what it held a moment ago
+// A local file whose text is managed by roll-outs. At any moment it holds one complete text or the
+// other. While needed, these files stand beside it:
+//   FILE.own     its text from before the first roll-out
+//   FILE.next    the staged text
+//   FILE.before  its text from before the last swap
 #pragma once
 
 #include <optional>
@@ -12,24 +12,26 @@
 
 namespace violetusher::ledger {
 
-/// Used by two threads, one after the other: the ledger's stages, the router's swaps.
+/// A managed file. Used by two threads in turn: the ledger's thread stages texts, the router's
+/// swaps them.
 class RolloutFile {
  public:
   explicit RolloutFile(std::string path) : path_(std::move(path)) {}
 
   const std::string& path() const { return path_; }
   std::string staged() const { return path_ + ".next"; }
-  /// Of the text that is there; see core::ledger::label. Nothing while it can't be read.
+  /// The label of the current text, see core::ledger::label(); nothing while it can't be read.
   std::optional<std::string> label() const;
-  /// Writes `text` beside the file, and waits for the disk. Why it could not; empty where it could.
+  /// Writes `text` to FILE.next and syncs it. Returns the error, or an empty string.
   std::string stage(const core::ledger::Text& text);
-  /// Puts the staged text in the file's place; undo() puts back what was there.
+  /// Replaces the file by the staged text; undo() restores the previous one.
   bool swap();
-  /// Where it fails, undo_pending() until it does not.
+  /// Restores the text from before the swap. If this fails, undo_pending() is true until it
+  /// succeeds.
   bool undo();
   bool undo_pending() const { return undo_pending_; }
-  /// After a swap that stands, on the ledger's thread: all of it is on the disk, and what is no
-  /// longer needed is gone.
+  /// Completes a swap that is to stay, on the ledger's thread: syncs it and deletes the files that
+  /// are no longer needed.
   void finish(const core::ledger::Text& text);
 
  private:
--- a/src/daemon/ledger/rollouts.cpp
+++ b/src/daemon/ledger/rollouts.cpp
@@ -32,7 +32,7 @@
   for (auto& [name, entry] : files_) {
     auto value = values.find("file/" + name);
     if (value == values.end()) continue;
-    // What is no plan is nobody's order: somebody has put another value under the name.
+    // Another kind of value was written under this name; ignore it.
     auto plan = Plan::parse(value->second.text);
     if (!plan) continue;
     auto part = static_cast<Micros>(env_.random() % static_cast<std::uint64_t>(entry.spread + 1));
@@ -73,7 +73,7 @@
   } else if (how == Adopter::End::kRefused) {
     env_.log_event("rollout-refused", of + why);
   } else {
-    env_.log_event("rollout-failed", of + why + "; tried again");
+    env_.log_event("rollout-failed", of + why + "; retrying");
   }
   report();
 }
--- a/src/daemon/ledger/rollouts.hpp
+++ b/src/daemon/ledger/rollouts.hpp
@@ -1,6 +1,6 @@
-// The files of this router that the fleet brings up to date: which text each is to hold by what the
-// ledger says, and the steps there. On the ledger's thread; what the router itself has to say about
-// a text it is asked for.
+// The files of this router that are managed by roll-outs: determines the text that each should hold
+// according to the ledger and applies it. Runs on the ledger's thread; the router itself accepts or
+// rejects each text.
 #pragma once
 
 #include <functional>
@@ -15,28 +15,31 @@
 
 namespace violetusher::ledger {
 
+/// Applies roll-outs to the files of this router.
 class Rollouts {
  public:
-  /// Why the router can't act on what is staged, empty where it now does.
+  /// Receives the reason why the router can't use the staged text, or an empty string if it does.
   using Applied = std::function<void(std::string why)>;
   struct Environment {
     std::function<core::ledger::Micros()> now;
     std::function<std::uint64_t()> random;
-    /// Whether what the ledger says is known to be recent: on an old word nothing new is begun.
+    /// Whether the view is known to be recent; no job is started on an old view.
     std::function<bool()> recent;
-    /// Asks the router to act on what is staged; `tried` comes later, on this thread.
+    /// Asks the router to use the staged text; `applied` is called later, on this thread.
     std::function<void(RolloutFile& file, Applied applied)> apply_staged;
     std::function<void(core::ledger::Json report)> report;
     std::function<void(const std::string& event, const std::string& text)> log_event;
   };
 
-  /// `names`: of all routers, `name` among them.
+  /// `names`: all routers, including `name`.
   Rollouts(const std::map<std::string, core::config::Rollout>& files, std::string name,
            std::vector<std::string> names, Environment env);
 
+  /// Sets the target texts according to a new view.
   void on_view(const core::ledger::View& view);
+  /// Starts the jobs that are due.
   void tick();
-  /// Somebody may have changed the files.
+  /// The files may have been changed by hand.
   void reread();
 
  private:
@@ -44,7 +47,7 @@
     RolloutFile file;
     core::ledger::Micros spread;
     core::ledger::Adopter adopter;
-    bool content_known = false;  // what the file holds was read
+    bool content_known = false;  // the file's label was read
   };
   void start(const std::string& name, Entry& entry, const core::ledger::Adopter::Job& job);
   void end(const std::string& name, Entry& entry, const core::ledger::Text& text,
--- a/src/daemon/ledger/service.cpp
+++ b/src/daemon/ledger/service.cpp
@@ -14,9 +14,9 @@
 
 namespace {
 
-constexpr std::size_t kSummaryHolders = 2;  // where a trail is kept
+constexpr std::size_t kSummaryHolders = 2;  // if the router keeps an audit trail
 constexpr net::Micros kTickInterval = 20'000;
-constexpr net::Micros kVersionsInterval = 500'000;  // between two looks at what the router acts on
+constexpr net::Micros kVersionsInterval = 500'000;  // between two queries of the router's versions
 constexpr char kBanPrefix[] = "out/";
 
 std::map<std::string, std::string> addresses(const std::map<std::string, core::config::Peer>& peers,
@@ -44,7 +44,7 @@
   return s;
 }
 
-/// All that belongs to the ledger's thread.
+/// Everything that the ledger's thread owns.
 class Service::Environment final : public Node::Environment {
  public:
   Environment(Service& service, const core::config::Model& model)
@@ -165,7 +165,7 @@
   if (!base_) throw std::runtime_error("no event base");
   to_ledger_ = std::make_unique<net::LoopTaskQueue>(base_.get());
   env_ = std::make_unique<Environment>(*this, model);
-  // Signals are the router's business.
+  // Signals are handled by the router's thread.
   sigset_t all, before;
   sigfillset(&all);
   pthread_sigmask(SIG_BLOCK, &all, &before);
--- a/src/daemon/ledger/service.hpp
+++ b/src/daemon/ledger/service.hpp
@@ -1,5 +1,5 @@
-// The ledger of a running router: its node, files and links on a thread of their own, so that no
-// disk and no other router ever holds up a till's request.
+// The ledger of a running router: its node, files and links on a separate thread, so that neither
+// the disk nor another router ever delays a client's request.
 #pragma once
 
 #include <functional>
@@ -17,22 +17,23 @@
 
 namespace violetusher::ledger {
 
+/// Runs the ledger's thread and connects it to the router's thread.
 class Service final : public net::Operations::FleetBans {
  public:
-  /// Called on the router's own thread.
+  /// Callbacks on the router's own thread.
   struct Handler {
     std::function<void(const std::set<std::string>& out)> on_bans_changed;
     std::function<void(const std::string& event, const std::string& text)> log_event;
-    /// What the router acts on, by kind: a digest or a name each.
+    /// The versions that the router acts on, by kind: a digest or a name each.
     std::function<std::map<std::string, std::string>()> versions;
-    /// Where the router's trail stands; empty or none where it keeps none.
+    /// The position of the router's audit trail; empty or not set if it keeps none.
     std::function<std::string()> trail;
-    /// Puts a staged text in its file's place and acts on it; why not, empty where it does.
+    /// Swaps in a staged text and reloads. Returns why it can't be used, or an empty string.
     std::function<std::string(RolloutFile& file)> apply_staged;
   };
 
-  /// `base`: the router's loop. `model` has a ledger. Throws net::ConfigError where it can't
-  /// listen.
+  /// `base`: the router's event loop. `model` must have a ledger. Throws net::ConfigError if it
+  /// can't listen.
   Service(event_base* base, const core::config::Model& model, const std::string& name,
           Handler handler);
   ~Service() override;
@@ -40,9 +41,9 @@
 
   void set_banned(const std::string& id, bool out,
                   std::function<void(std::string why)> done) override;
-  /// The router ends: leading goes to another.
+  /// Hands over leadership before the router shuts down.
   void transfer_leadership();
-  /// Files that are rolled out may have been changed by hand.
+  /// To be called when managed files may have been changed by hand.
   void reread_rollout_files();
 
  private:
@@ -55,11 +56,11 @@
   net::EventBasePtr base_;
   std::unique_ptr<net::LoopTaskQueue> to_ledger_;
   std::unique_ptr<Environment> env_;
-  bool stopping_ = false;  // of the ledger's thread
+  bool stopping_ = false;  // used by the ledger's thread
   std::thread thread_;
 };
 
-/// What the operator file says, as a node takes it; the router's own name among the peers or not.
+/// Settings of a node from the operator file. `peers` may include the router itself.
 NodeSettings node_settings(const core::config::Ledger& settings,
                            const std::map<std::string, core::config::Peer>& peers,
                            const std::string& name);
--- a/src/daemon/ledger/sqlite_storage.cpp
+++ b/src/daemon/ledger/sqlite_storage.cpp
@@ -21,7 +21,7 @@
 using core::ledger::digest;
 using core::ledger::Json;
 
-constexpr int kBusyTimeoutMs = 2000;  // another process of this router may still be closing
+constexpr int kBusyTimeoutMs = 2000;  // the router's previous process may still be closing
 constexpr char kDatabaseFile[] = "/ledger.db";
 
 std::int64_t sum_of(std::string_view name, std::string_view bytes) {
@@ -50,7 +50,7 @@
   return Json::array({s.index, s.term, s.members_index, binary(s.members), binary(s.bytes)});
 }
 
-/// What `bytes`, a value of its own, says; throws where it says something else.
+/// Reads one named value into the image; throws if the bytes have another shape.
 void read(const std::string& name, std::string_view bytes, Image& image) {
   if (name == "view") {
     image.view = bytes;
@@ -101,8 +101,8 @@
   if (opened != SQLITE_OK) return record_error();
   sqlite3_busy_timeout(db, kBusyTimeoutMs);
   if (read_only_) return true;
-  // Nobody else opens it while this process lives. FULL: the log ahead is synced at each commit.
-  // Nothing else grows: the log ahead is put into the file at a thousand pages.
+  // The database is locked exclusively while this process runs. FULL syncs the write-ahead log at
+  // each commit. The log does not grow without bound: SQLite checkpoints it at 1000 pages.
   return execute("PRAGMA locking_mode=EXCLUSIVE") && execute("PRAGMA journal_mode=WAL") &&
          execute("PRAGMA synchronous=FULL") && execute("PRAGMA journal_size_limit=4194304") &&
          execute(
@@ -113,14 +113,14 @@
              " sum INTEGER NOT NULL) STRICT");
 }
 
-/// Of the call that has just failed. An error of the disk says nothing about what is on it: whoever
-/// put the files aside for one would lose its promises for a cable.
+/// Classifies the error of the last call. A disk error does not mean that the content is corrupt:
+/// quarantining the files for one would lose acknowledged entries over, say, a loose cable.
 LoadResult SqliteStorage::classify_error() const {
   switch (db_ ? sqlite3_errcode(db_.get()) & 0xff : SQLITE_NOMEM) {
     case SQLITE_CORRUPT:
     case SQLITE_NOTADB:
     case SQLITE_FORMAT:
-    case SQLITE_ERROR:  // a table that is none of ours
+    case SQLITE_ERROR:  // the schema differs
     case SQLITE_MISMATCH:
     case SQLITE_CONSTRAINT:
       return LoadResult::kCorrupt;
@@ -150,7 +150,7 @@
     std::string name(blob(held.get(), 0));
     std::string_view bytes = blob(held.get(), 1);
     if (sum_of(name, bytes) != sqlite3_column_int64(held.get(), 2))
-      return bad("'" + name + "' is not as it was written");
+      return bad("the checksum of '" + name + "' does not match");
     try {
       read(name, bytes, image);
     } catch (const std::exception& e) {
@@ -167,7 +167,7 @@
     e.type = static_cast<unsigned short>(sqlite3_column_int(log.get(), 2));
     e.bytes = blob(log.get(), 3);
     if (sum_of(sum_name(e), e.bytes) != sqlite3_column_int64(log.get(), 4))
-      return bad("log entry " + std::to_string(e.index) + " is not as it was written");
+      return bad("the checksum of log entry " + std::to_string(e.index) + " does not match");
     image.log.push_back(std::move(e));
   }
   if (step != SQLITE_DONE) return record_error(), failed();
@@ -239,7 +239,7 @@
 }
 
 std::string SqliteStorage::fingerprint() {
-  // A file that was put back from a copy is another file, made at another time.
+  // A file restored from a copy has another inode or creation time.
   struct statx info {};
   std::string path = folder_ + kDatabaseFile;
   int result = net::retry_interrupted(
@@ -253,8 +253,8 @@
 bool SqliteStorage::quarantine() {
   db_.reset();
   if (read_only_) return false;
-  // One is kept for people; the ones before it go, so that a disk that fails again and again does
-  // not fill itself.
+  // Only the latest one is kept for operators, so that a disk that fails repeatedly does not fill
+  // up.
   std::error_code error;
   std::string aside = folder_ + ".aside";
   fs::remove_all(aside, error);
--- a/src/daemon/ledger/sqlite_storage.hpp
+++ b/src/daemon/ledger/sqlite_storage.hpp
@@ -1,6 +1,5 @@
-// The ledger's files: one SQLite database in a folder of its own, written ahead and synced at every
-// commit. Every row carries a digest of its own, so that a bit which the disk has turned is found
-// where SQLite would hand it on.
+// The ledger's files: one SQLite database in its own folder, with write-ahead logging and a sync at
+// every commit. Each row carries a digest, which detects flipped bits that SQLite would not notice.
 #pragma once
 
 #include <memory>
@@ -13,10 +12,11 @@
 
 namespace violetusher::ledger {
 
+/// Storage in a SQLite database.
 class SqliteStorage final : public Storage {
  public:
-  /// Makes the folder where there is none. `read_only`: for looking at a folder whose keeper is
-  /// away; nothing is written.
+  /// Creates the folder if needed. `read_only`: to inspect the folder of a stopped router; nothing
+  /// is written.
   explicit SqliteStorage(std::string folder, bool read_only = false);
   ~SqliteStorage() override;
 
@@ -25,7 +25,7 @@
   std::int64_t last_commit_us() const override { return last_commit_us_; }
   std::string fingerprint() override;
   bool quarantine() override;
-  /// Why the last call failed.
+  /// The error of the last failed call.
   const std::string& error() const { return error_; }
 
  private:
--- a/src/daemon/ledger/storage.cpp
+++ b/src/daemon/ledger/storage.cpp
@@ -77,11 +77,11 @@
   for (std::size_t i = 1; i < image.log.size(); ++i)
     if (image.log[i].index != image.log[i - 1].index + 1 ||
         image.log[i].term < image.log[i - 1].term)
-      return "the log has a gap before " + std::to_string(image.log[i].index);
+      return "the log has a gap before entry " + std::to_string(image.log[i].index);
   std::uint64_t covered = image.snapshot ? image.snapshot->index : 0;
   if (!image.log.empty() && (image.log.front().index == 0 || image.log.front().index > covered + 1))
-    return "the log begins after its snapshot's end";
-  if (image.meta.voter && image.meta.identity == 0) return "a keeper without an identity";
+    return "the log begins after the end of its snapshot";
+  if (image.meta.voter && image.meta.identity == 0) return "a voter without an identity";
   return "";
 }
 
--- a/src/daemon/ledger/storage.hpp
+++ b/src/daemon/ledger/storage.hpp
@@ -1,6 +1,5 @@
-// What a keeper writes down, behind one small interface: SQLite's files (sqlite_storage.hpp), or a
-// disk made of memory whose faults a test chooses. One commit is all or nothing, and is on the disk
-// when it returns.
+// Interface of the ledger's persistent storage: a SQLite database (sqlite_storage.hpp), or an
+// in-memory disk with injected faults in tests. A commit is atomic, and durable when it returns.
 #pragma once
 
 #include <cstdint>
@@ -10,45 +9,49 @@
 
 namespace violetusher::ledger {
 
-/// Who this disk belongs to. An identity lives as long as its disk and no longer.
+/// Identifies the owner of a disk. An identity is never used without its disk.
 struct Meta {
-  std::uint64_t identity = 0;  ///< 0: nobody's yet
-  std::uint64_t group = 0;     ///< 0: of no group yet
-  std::uint64_t epoch = 0;     ///< raised by a rescue
-  std::uint64_t boot = 0;      ///< starts so far
-  bool voter = false;          ///< it has been asked to keep, and may have voted
-  std::string fingerprint;     ///< of the files when they were made
+  std::uint64_t identity = 0;  ///< 0: none yet
+  std::uint64_t group = 0;     ///< 0: none yet
+  std::uint64_t epoch = 0;     ///< increased by a rescue
+  std::uint64_t boot = 0;      ///< number of starts
+  bool voter = false;          ///< it became a member and may have voted
+  std::string fingerprint;     ///< of the files when they were created
   bool operator==(const Meta&) const = default;
 };
 
+/// An entry of the Raft log.
 struct LogEntry {
   std::uint64_t index = 0, term = 0;
-  unsigned short type = 0;  ///< raft's
+  unsigned short type = 0;  ///< Raft's entry type
   std::string bytes;
 };
 
+/// A Raft snapshot.
 struct Snapshot {
   std::uint64_t index = 0, term = 0, members_index = 0;
-  std::string members, bytes;  ///< `members`: raft's encoding of a configuration
+  std::string members, bytes;  ///< `members`: encoded Raft configuration
 };
 
+/// The whole content of a storage.
 struct Image {
   Meta meta;
   std::uint64_t term = 0, vote = 0;
   std::optional<Snapshot> snapshot;
-  std::vector<LogEntry> log;  ///< without a gap, ascending
-  std::string view;           ///< the state last shown to others; see core::ledger::State
+  std::vector<LogEntry> log;  ///< ascending, without gaps
+  std::string view;           ///< the last published state; see core::ledger::State
 };
 
+/// One write; a commit consists of several.
 struct Op {
   enum class Kind {
     kMeta,      ///< `meta`
-    kTerm,      ///< `number`; takes the vote away
+    kTerm,      ///< `number`; clears the vote
     kVote,      ///< `number`
-    kTruncate,  ///< entries from `number` on go
+    kTruncate,  ///< removes entries from `number` on
     kAppend,    ///< `entry`
     kSnapshot,  ///< `snapshot`
-    kTrim,      ///< entries up to `number` go
+    kTrim,      ///< removes entries up to `number`
     kView,      ///< `bytes`
   };
   Kind kind = Kind::kMeta;
@@ -58,39 +61,43 @@
   Snapshot snapshot;
   std::string bytes;
 
+  // One factory for each kind of operation.
   static Op of(Meta meta);
-  static Op with_number(Kind kind, std::uint64_t number);  ///< of the kinds that have a number
+  static Op with_number(Kind kind, std::uint64_t number);  ///< for kinds with a number
   static Op append(LogEntry entry);
   static Op put(Snapshot snapshot);
   static Op view(std::string state);
 };
 
+/// The result of loading a storage.
 enum class LoadResult {
   kOk,
-  kUnreadable,  ///< not now: the disk gives an error, or takes nothing. It may later
-  kCorrupt,     ///< what is there is not as it was written, and never will be
+  kUnreadable,  ///< the disk reports an error, which may be temporary
+  kCorrupt,     ///< the content is damaged permanently
 };
 
+/// Storage of one router's ledger.
 class Storage {
  public:
   virtual ~Storage() = default;
-  /// All that is there; where it is not good, `error` says why and nothing is given.
+  /// Loads the whole content. Unless the result is kOk, `error` has the reason and the image is not
+  /// filled.
   virtual LoadResult load(Image& image, std::string& error) = 0;
-  /// All of it or nothing. False where it could not be written; what then stands is either, so the
-  /// caller reads it anew before it goes on.
+  /// Applies all operations atomically. After a failure (false) they may or may not have been
+  /// applied, so the caller has to load the image again before it continues.
   virtual bool commit(const std::vector<Op>& ops) = 0;
-  /// How long the last commit took, in microseconds.
+  /// Duration of the last commit, in microseconds.
   virtual std::int64_t last_commit_us() const { return 0; }
-  /// Tells files that were put back from those that have stayed; see Meta::fingerprint. Empty where
-  /// that can't be told now.
+  /// Distinguishes the original files from a restored copy; see Meta::fingerprint. Empty if it
+  /// can't be determined now.
   virtual std::string fingerprint() = 0;
-  /// Puts what is there out of the way, kept for people, and begins with nothing.
+  /// Moves the content aside, where operators can inspect it, and starts empty.
   virtual bool quarantine() = 0;
 };
 
-/// What the ops make of an image; what both kinds of storage agree on.
+/// Applies operations to an image; defines their meaning for all storages.
 void apply_ops(Image& image, const std::vector<Op>& ops);
-/// What is wrong with an image as a whole; empty where nothing is.
+/// Checks the consistency of an image; empty if it is consistent.
 std::string image_error(const Image& image);
 
 }  // namespace violetusher::ledger
--- a/src/daemon/ledger/timed_storage.hpp
+++ b/src/daemon/ledger/timed_storage.hpp
@@ -1,5 +1,5 @@
-// A disk with a stopwatch: how long its commits take, so that a keeper whose disk has become slow
-// is noticed before it fails.
+// A storage wrapper that measures commit times, so that a disk that has become slow is noticed
+// before it fails.
 #pragma once
 
 #include <vector>
@@ -8,6 +8,7 @@
 
 namespace violetusher::ledger {
 
+/// Forwards to another storage and measures its commits.
 class TimedStorage final : public Storage {
  public:
   explicit TimedStorage(Storage& disk) : disk_(disk) {}
@@ -22,7 +23,7 @@
   std::string fingerprint() override { return disk_.fingerprint(); }
   bool quarantine() override { return disk_.quarantine(); }
 
-  /// Of a commit, in microseconds, over the last dozen or so.
+  /// Moving average of the commit time, in microseconds.
   std::int64_t mean_commit_us() const { return mean_commit_us_; }
 
  private:
--- a/src/daemon/ledger/voter.cpp
+++ b/src/daemon/ledger/voter.cpp
@@ -11,7 +11,7 @@
 using core::ledger::mutant;
 using core::ledger::Mutant;
 
-constexpr Micros kMaxTickGap = 100'000;  // from one tick to the next, of time that it was awake
+constexpr Micros kMaxTickGap = 100'000;  // a longer gap between ticks counts as this
 
 LogPosition end_of_log(const Image& image) {
   LogPosition m{image.term, 0, 0};
@@ -95,7 +95,8 @@
 
 bool Voter::start_raft() {
   const LogPosition& floor = rejoin_check_.floor();
-  // It may have voted in any term up to the highest there is: in that one it does so no more.
+  // It may have voted in any term up to the highest one known, so it must not vote in that term
+  // again.
   std::vector<Op> ops;
   if (floor.term > image_.term) ops.push_back(Op::with_number(Op::Kind::kTerm, floor.term));
   if (floor.term > 0 && (floor.term > image_.term || image_.vote == 0) &&
@@ -147,19 +148,19 @@
 
 void Voter::flush() {
   if (port_ && !port_->flush()) stage_ = port_->reopen_needed() ? Stage::kReopen : Stage::kFailed;
-  // Raft has given up on something that it can't explain; its disk is as it was.
+  // Raft has stopped on an internal error; the disk is unchanged.
   if (stage_ == Stage::kRunning && raft_.state == RAFT_UNAVAILABLE) stage_ = Stage::kFailed;
 }
 
 void Voter::tick() {
-  // Where the clock jumps, or the process was frozen, nobody had the time to tell it anything.
+  // After a clock jump or a stall of the process no answers had time to arrive.
   running_time_ += std::clamp<Micros>(env_.now() - last_tick_, 0, kMaxTickGap);
   last_tick_ = env_.now();
   bool disk_trusted = running_time_ > timing_.trust_after;
   if (stage_ == Stage::kRejoinCheck && disk_trusted) vouch();
   if (stage_ != Stage::kRunning) return;
-  // The floor may have been set by entries that were never agreed on, of one that is gone with its
-  // disk since: then nobody could ever come up to it.
+  // The floor may come from uncommitted entries of a member that has since been lost with its disk;
+  // then no member could ever reach it.
   if (disk_trusted) port_->clear_floor();
   port_->tick();
   flush();
