--- a/tests/core/audit/history_test.cpp
+++ b/tests/core/audit/history_test.cpp
@@ -1,5 +1,5 @@
-// What is done is told under the view it was done under, and what the trail does not tell is called
-// unknown.
+// Attempts are attributed to the view that they were sent under, and intervals that a trail does
+// not cover are reported as unknown.
 #include "core/audit/history.hpp"
 
 #include <gtest/gtest.h>
@@ -9,7 +9,7 @@
 namespace violetusher::core::audit {
 namespace {
 
-/// A router's account whose bodies become blocks, but for those that are lost.
+/// A recorder whose bodies become blocks, except while `losing`.
 struct Router {
   explicit Router(const std::string& name)
       : account([this] { return versions; }, [this](std::string body) { write(body); }) {
@@ -27,7 +27,7 @@
   ActivityRecorder account;
 };
 
-TEST(History, EachAttemptIsUnderTheViewItWasSentUnder) {
+TEST(History, AttemptsAreCountedUnderTheirView) {
   std::mt19937 random(7);
   Router r("r1");
   std::map<std::string, std::uint64_t> sent;  // by the list's version
@@ -50,9 +50,9 @@
   History h;
   h.add(r.trail);
   for (const auto& [version, count] : sent) {
-    std::uint64_t told = 0;
-    for (const Period* s : h.periods_with("list", version)) told += s->attempts();
-    EXPECT_EQ(told, count) << version;
+    std::uint64_t attempts = 0;
+    for (const Period* s : h.periods_with("list", version)) attempts += s->attempts();
+    EXPECT_EQ(attempts, count) << version;
   }
   EXPECT_TRUE(h.violations().empty());
   EXPECT_TRUE(h.unknown().empty());
@@ -60,14 +60,14 @@
   EXPECT_TRUE(h.periods_at(999).empty());
 }
 
-TEST(History, ASendToOneThatIsOutIsNamedAndNoOther) {
+TEST(History, AttemptToAnExcludedServerIsAViolation) {
   Router r("r1");
   r.account.set_serving("a", true);
   r.account.set_serving("b", true);
   r.account.changed(1000);
   r.account.sent("a", r.account.type_of("read"));
   r.account.set_serving("a", false);
-  r.account.changed(2000);  // the one before is no violation: its period ends here
+  r.account.changed(2000);  // the attempt before is no violation: its period ends here
   r.account.sent("b", 0);
   r.account.sent("a", 0);
   r.account.refused("put");
@@ -81,8 +81,8 @@
   EXPECT_EQ(h.periods().back().refused.at("put"), 1u);
 }
 
-/// Changes that were lost must not make what came after look wrong, or right.
-TEST(History, AfterAGapNothingIsJudgedUntilAllIsSaidAnew) {
+/// After lost view changes, later attempts must count as neither valid nor violations.
+TEST(History, AfterAGapNothingIsCheckedUntilAFullView) {
   Router r("r1");
   r.account.set_serving("a", true);
   r.account.changed(1000);
@@ -114,7 +114,7 @@
   EXPECT_EQ(h.unknown().front().why.empty(), false);
 }
 
-TEST(History, TwoContentsUnderOneNumberAndWhoIsLate) {
+TEST(History, ConflictingContentAndLateRoutersAreFound) {
   Router first("r1"), second("r2"), third("r3");
   first.account.changed(1000);
   first.versions["list"] = "2";
@@ -136,8 +136,8 @@
   EXPECT_EQ(arrivals[2].router, "r1");
 }
 
-/// Each cause of being late that trails can tell is told as that one.
-TEST(History, WhyARouterIsLate) {
+/// Each reason for a delay that trails can show is reported as such.
+TEST(History, ReasonsForALateArrival) {
   Router fast("r1"), acted("r2"), restarted("r3"), spoilt("r4"), gone("r5"), never("r6");
   Router* all[] = {&fast, &acted, &restarted, &spoilt, &gone, &never};
   for (Router* r : all) r->account.changed(1000);
@@ -175,8 +175,8 @@
   EXPECT_EQ(h.periods_of("r3").size(), 2u);
 }
 
-/// Blocks come from a disk: bodies of any shape are nothing worse than unknown.
-TEST(History, BodiesOfAnyShapeAreRead) {
+/// Blocks come from a disk and may have any shape; at worst an interval is unknown.
+TEST(History, BlocksOfAnyShapeAreReadWithoutViolations) {
   const char* bodies[] = {"{}",
                           "[]",
                           "3",
--- a/tests/core/audit/summary_replication_test.cpp
+++ b/tests/core/audit/summary_replication_test.cpp
@@ -1,5 +1,5 @@
-// Who holds a router's summary: few, of other halls, spread over the fleet, and others where those
-// do not answer.
+// The choice of routers that hold a summary: few, in other zones, spread over the fleet, and
+// replaced while they do not answer.
 #include "core/audit/summary_replication.hpp"
 
 #include <gtest/gtest.h>
@@ -25,7 +25,7 @@
   }
 }
 
-TEST(SummaryReplication, AreOfOtherHallsAndStayTheSame) {
+TEST(SummaryReplication, TargetsAreInOtherZonesAndStable) {
   auto peers = fleet(9, 3);
   SummaryReplication w("r0", "h0", peers, 2);
   Micros now = 5 * kS;
@@ -37,14 +37,14 @@
     for (const auto& name : first) w.acknowledge(name);
     EXPECT_EQ(next(w, now), first);
   }
-  // In one hall, and without any, it is others of the same.
+  // With a single zone the targets are in the same one; without peers there are none.
   SummaryReplication alone("r0", "h0", fleet(3, 1), 2);
   EXPECT_EQ(next(alone, now).size(), 2u);
   SummaryReplication only("r0", "h0", fleet(1, 1), 2);
   for (int k = 0; k < 1000; ++k) EXPECT_TRUE(only.next_targets(now += 20'000).empty());
 }
 
-TEST(SummaryReplication, WhoDoesNotAnswerGivesItsPlaceAndGetsItBack) {
+TEST(SummaryReplication, SilentTargetIsReplacedAndReturns) {
   SummaryReplication w("r0", "h0", fleet(9, 3), 2);
   Micros now = 0;
   auto first = next(w, now);
@@ -65,8 +65,8 @@
   EXPECT_EQ(next(w, now), first);
 }
 
-/// All are cut off: it goes on trying, and asks no more of the fleet than before.
-TEST(SummaryReplication, NobodyAnswers) {
+/// A router that is cut off keeps trying and does not send more than before.
+TEST(SummaryReplication, KeepsSendingAtTheSameRateIfNoTargetAnswers) {
   SummaryReplication w("r0", "h0", fleet(5, 3), 2);
   Micros now = 0;
   int sent = 0;
@@ -74,8 +74,8 @@
   EXPECT_NEAR(sent, 120, 4);
 }
 
-/// Frozen for a minute it does not make up for what it did not send.
-TEST(SummaryReplication, AFreezeIsNoBurst) {
+/// After a stall of a minute the missed summaries are not sent in a burst.
+TEST(SummaryReplication, NoBurstAfterAStall) {
   SummaryReplication w("r0", "h0", fleet(5, 3), 2);
   Micros now = 0;
   next(w, now);
@@ -86,7 +86,7 @@
   EXPECT_LE(sent, 14);
 }
 
-/// 350 routers: what one is sent, at most, and what all send in a tenth of a second.
+/// 350 routers: bounds the senders per router and the summaries sent per tenth of a second.
 TEST(SummaryReplication, LoadIsSpreadOverALargeFleet) {
   constexpr int kRouters = 350;
   auto peers = fleet(kRouters, 4);
@@ -109,14 +109,14 @@
   EXPECT_LE(peak, 80);  // 35 on average
 }
 
-TEST(SummaryReplication, HoldTheLastOfEachLifeWithinBounds) {
+TEST(SummaryReplication, StoresTheLatestOfEachIdentityWithinBounds) {
   SummaryReplication w("r0", "h0", fleet(200, 3), 2);
   EXPECT_TRUE(w.store("r1", 7, 2, {{"n", 2}}, kS));
-  EXPECT_FALSE(w.store("r1", 7, 1, {{"n", 1}}, 2 * kS)) << "late on its way";
+  EXPECT_FALSE(w.store("r1", 7, 1, {{"n", 1}}, 2 * kS)) << "delayed";
   EXPECT_FALSE(w.store("r1", 7, 3, {{"n", std::string(20'000, 'x')}}, 2 * kS));
   EXPECT_EQ(w.stored(3 * kS)["now"]["r1"]["said"]["n"], 2);
   EXPECT_EQ(w.stored(3 * kS)["now"]["r1"]["age_us"], 2 * kS);
-  EXPECT_TRUE(w.store("r1", 8, 1, {{"n", 9}}, 4 * kS)) << "a new disk counts from the start";
+  EXPECT_TRUE(w.store("r1", 8, 1, {{"n", 9}}, 4 * kS)) << "a new disk numbers from the start";
   Json held = w.stored(5 * kS);
   EXPECT_EQ(held["now"]["r1"]["said"]["n"], 9);
   EXPECT_EQ(held["former"]["r1"]["said"]["n"], 2);
--- a/tests/core/audit/trail_test.cpp
+++ b/tests/core/audit/trail_test.cpp
@@ -1,5 +1,5 @@
-// A trail that was cut, torn, spoilt or edited is found, and what is left of it is what was
-// written.
+// Truncated, torn, corrupted or edited trails are detected, and the blocks that are still returned
+// are the ones that were written.
 #include "core/audit/trail.hpp"
 
 #include <gtest/gtest.h>
@@ -35,7 +35,7 @@
   return reader.finish();
 }
 
-/// Every block that is given out is one that was written, in order and once.
+/// Expects that each returned block was written, and that they are in order and unique.
 void expect_true(const Trail& trail, const Written& w, const std::string& what) {
   std::uint64_t last = 0;
   for (const Block& b : trail.blocks) {
@@ -47,7 +47,7 @@
   }
 }
 
-TEST(Trail, GoesOnOverFiles) {
+TEST(Trail, ContinuesAcrossFiles) {
   Written first = written(5), second = written(3, first.last);
   Trail trail = read({first.text, second.text});
   EXPECT_EQ(trail.router, "r1");
@@ -56,7 +56,7 @@
   EXPECT_EQ(trail.last.number, 10u);
 }
 
-TEST(Trail, AnyChangedByteIsFound) {
+TEST(Trail, AnyChangedByteIsDetected) {
   Written w = written(4);
   for (std::size_t at = 0; at < w.text.size(); ++at)
     for (char flip : {'\x01', '\x20'}) {
@@ -69,7 +69,7 @@
     }
 }
 
-TEST(Trail, LinesTakenOutDoubledOrSwappedAreFound) {
+TEST(Trail, RemovedDuplicatedOrSwappedLinesAreDetected) {
   Written w = written(6);
   for (std::size_t k = 1; k + 1 < w.lines.size(); ++k) {
     auto out = w.lines, twice = w.lines, swapped = w.lines;
@@ -86,7 +86,7 @@
   }
 }
 
-TEST(Trail, ATornEndIsToldAndWhatFollowsIsRead) {
+TEST(Trail, TornEndIsReportedAndTheNextFileIsRead) {
   Written w = written(4);
   for (std::size_t size = 0; size < w.text.size(); ++size) {
     std::string text = w.text.substr(0, size);
@@ -103,14 +103,14 @@
   }
 }
 
-TEST(Trail, AFileThatIsNotThereOrAnothersIsFound) {
+TEST(Trail, MissingOrForeignFileIsDetected) {
   Written a = written(3), b = written(3, a.last), c = written(3, b.last);
   Trail gone = read({a.text, c.text});
   ASSERT_EQ(gone.faults.size(), 1u);
   EXPECT_EQ(gone.faults[0].kind, Fault::Kind::kMissing);
   EXPECT_EQ(gone.faults[0].from, 5u);
   EXPECT_EQ(gone.faults[0].to, 8u);
-  // The oldest files go by size and age: that is no fault.
+  // Deleting the oldest files by size and age is not a fault.
   EXPECT_TRUE(read({b.text, c.text}).faults.empty());
   Trail others = read({a.text, written(3, a.last, "r2").text});
   ASSERT_EQ(others.faults.size(), 1u);
@@ -121,9 +121,9 @@
   EXPECT_EQ(rewritten.faults[0].kind, Fault::Kind::kForeign);
 }
 
-/// What others hold finds what the trail's own sums can't: an end that is gone, and a trail that
-/// was written anew with sums of its own.
-TEST(Trail, IsHeldAgainstWhatOthersHold) {
+/// Positions held by other routers detect what the trail's own sums can't: a truncated end, and a
+/// trail that was rewritten with recomputed sums.
+TEST(Trail, TruncationAndRewriteAreDetectedByPositionsHeldElsewhere) {
   Written w = written(6);
   std::vector<TrailPosition> positions;
   TrailPosition position;
@@ -148,14 +148,14 @@
   EXPECT_FALSE(compare_with_position(forged, positions[2]));
   ASSERT_TRUE(compare_with_position(forged, positions[5]));
   EXPECT_EQ(compare_with_position(forged, positions[5])->kind, Fault::Kind::kRewritten);
-  // The oldest files go; what is not there is not in doubt.
+  // Blocks that were deleted with the oldest files are not a fault.
   EXPECT_FALSE(compare_with_position(read({written(2, w.last).text}), positions[2]));
   for (const char* none : {"", ":", "1", "0:0000000000000000", "1:0", "x:0000000000000001",
                            "1:000000000000000G", "1:0000000000000001 "})
     EXPECT_FALSE(parse_position(none)) << none;
 }
 
-TEST(Trail, AnyBytesAreRead) {
+TEST(Trail, AnyBytesAreReadAsFaults) {
   Written w = written(2);
   for (const char* text : {"", "\n", "\n\n\n", "0 1 {}\n", "0000000000000000 1 {}\n",
                            "ffffffffffffffff 99999999999999999999 {}\n", "a b c d\n{}\n"}) {
--- a/tests/core/audit/versions_test.cpp
+++ b/tests/core/audit/versions_test.cpp
@@ -22,7 +22,7 @@
   return out;
 }
 
-TEST(Audit, AFleetOnOneVersionIsCurrent) {
+TEST(Audit, RolloutInProgressDoesNotCountAsLate) {
   std::vector<RouterReport> fleet;
   for (int n = 1; n <= 3; ++n)
     fleet.push_back(
@@ -31,12 +31,12 @@
                    {"file/operator", rolled(7, n == 1 ? "new" : "old", n == 1 ? "new" : "old")}}));
   Audit a = audit(fleet, kOld);
   EXPECT_EQ(a.current, 3u) << summary_of(a);
-  EXPECT_EQ(summary_of(a), "") << "a roll-out at a third of the routers is no lateness";
+  EXPECT_EQ(summary_of(a), "") << "a roll-out to a third of the routers is not a delay";
   ASSERT_EQ(a.distributions.size(), 3u);
   EXPECT_EQ(a.distributions[0].versions[0], (std::pair<std::string, std::size_t>{"7 of old", 2}));
 }
 
-TEST(Audit, EachStragglerIsNamedWithItsCauseGravestFirst) {
+TEST(Audit, StragglersAreListedWithTheirCauseMostSevereFirst) {
   std::vector<RouterReport> fleet{
       router(1, {{"file/a", rolled(9, "new", "new")}, {"settings", {0, "s", {}, "", false}}}),
       router(2, {{"file/a", rolled(9, "new", "new")}, {"settings", {0, "s", {}, "", false}}}),
@@ -63,7 +63,7 @@
   EXPECT_NE(summary_of(audit(fleet, kOld)).find("r4 on-its-way file/a"), std::string::npos);
 }
 
-TEST(Audit, TwoContentsUnderOneNumberAreAClash) {
+TEST(Audit, TwoContentsUnderOneNumberAreAConflict) {
   std::vector<RouterReport> fleet;
   for (int n = 1; n <= 3; ++n)
     fleet.push_back(router(n, {{"list", {5, n == 2 ? "x" : "y", {}, "", false}}}));
--- a/tests/core/ledger/reconfiguration_test.cpp
+++ b/tests/core/ledger/reconfiguration_test.cpp
@@ -11,7 +11,7 @@
   return {id, name, zone, true, unreachable};
 }
 
-TEST(LedgerReconfiguration, AGroupOfOneGrowsOverHallsUntilItIsWhole) {
+TEST(LedgerReconfiguration, SingleVoterGrowsToTargetAcrossZones) {
   std::vector<Member> members{voter(1, "r1", "bole")};
   std::vector<Candidate> candidates{{2, "r2", "bole"}, {3, "r3", "kality"}, {4, "r4", "piassa"}};
   std::vector<std::string> order;
@@ -28,10 +28,10 @@
         if (m.identity == change->identity) m.votes = true;
     }
   }
-  EXPECT_EQ(order, (std::vector<std::string>{"r3", "r4"})) << "no two of one hall";
+  EXPECT_EQ(order, (std::vector<std::string>{"r3", "r4"})) << "no two in one zone";
 }
 
-TEST(LedgerReconfiguration, WhoComesBackWithoutItsDiskTakesItsOwnPlaceUnderAnotherIdentity) {
+TEST(LedgerReconfiguration, MemberWithNewIdentityReplacesItsOldIdentity) {
   std::vector<Member> members{voter(1, "r1", "bole"), voter(2, "r2", "kality"),
                               voter(3, "r3", "piassa")};
   std::vector<Candidate> back{{33, "r3", "piassa"}};
@@ -40,30 +40,29 @@
   EXPECT_EQ(next_change(1, 3, members, back), (MembershipChange{Kind::kAdd, 33, "r3"}));
 }
 
-TEST(LedgerReconfiguration, WhoIsGoneGivesWayOnceAnotherIsThere) {
+TEST(LedgerReconfiguration, UnreachableVoterIsReplacedOnceAnotherIsAvailable) {
   std::vector<Member> members{voter(1, "r1", "bole"), voter(2, "r2", "kality"),
                               voter(3, "r3", "piassa", true)};
-  EXPECT_FALSE(next_change(1, 3, members, {}))
-      << "without another it stays: two of three are better";
+  EXPECT_FALSE(next_change(1, 3, members, {})) << "without a replacement it stays";
   std::vector<Candidate> spare{{4, "r4", "kality"}};
   EXPECT_EQ(next_change(1, 3, members, spare), (MembershipChange{Kind::kAdd, 4, "r4"}));
   members.push_back(voter(4, "r4", "kality"));
   EXPECT_EQ(next_change(1, 3, members, {}), (MembershipChange{Kind::kRemove, 3, {}}));
 }
 
-TEST(LedgerReconfiguration, AHallThatHoldsTheMajorityGivesOneUp) {
+TEST(LedgerReconfiguration, ZoneWithMajorityGivesUpOneVoter) {
   std::vector<Member> members{voter(1, "r1", "bole"), voter(2, "r2", "bole"),
                               voter(3, "r3", "kality")};
   std::vector<Candidate> spare{{4, "r4", "piassa"}};
   EXPECT_EQ(next_change(1, 3, members, spare), (MembershipChange{Kind::kAdd, 4, "r4"}));
   members.push_back(voter(4, "r4", "piassa"));
   EXPECT_EQ(next_change(1, 3, members, {}), (MembershipChange{Kind::kRemove, 2, {}}))
-      << "and never itself";
+      << "and never the leader itself";
   members.erase(members.begin() + 1);
   EXPECT_FALSE(next_change(1, 3, members, {{2, "r2", "bole"}}));
 }
 
-TEST(LedgerReconfiguration, NobodyMayStopTheMajority) {
+TEST(LedgerReconfiguration, StoppingAMajorityIsRefused) {
   std::vector<Member> members{voter(1, "r1", "bole"), voter(2, "r2", "kality"),
                               voter(3, "r3", "piassa")};
   EXPECT_TRUE(may_stop(members, {"r2", "r9"}));
@@ -72,14 +71,14 @@
   EXPECT_FALSE(may_stop(members, {"r2"}));
 }
 
-TEST(LedgerReconfiguration, AMoveAddsTheNewOneBeforeTheOldOneGoes) {
+TEST(LedgerReconfiguration, MoveAddsNewVoterBeforeRemovingTheOld) {
   std::vector<Member> three{
       {1, "r1", "a", true, false}, {2, "r2", "b", true, false}, {3, "r3", "c", true, false}};
   std::vector<Candidate> r4{{4, "r4", "a"}}, r4_r5{{5, "r5", "b"}, {4, "r4", "a"}};
   Move move{"r2", "r4"};
   EXPECT_EQ(next_change(1, 3, three, r4_r5, move),
             (MembershipChange{MembershipChange::Kind::kAdd, 4, "r4"}));
-  EXPECT_FALSE(next_change(1, 3, three, {}, move)) << "the new one has not been heard of";
+  EXPECT_FALSE(next_change(1, 3, three, {}, move)) << "no hello from the new voter";
   auto four = three;
   four.push_back({4, "r4", "a", false, false});
   EXPECT_EQ(next_change(1, 3, four, r4, move),
--- a/tests/core/ledger/rejoin_check_test.cpp
+++ b/tests/core/ledger/rejoin_check_test.cpp
@@ -10,13 +10,13 @@
   return {position, asker, {}};
 }
 
-TEST(RejoinCheck, OfThreeBothOthersAnswerAndOfFiveThreeOfFour) {
+TEST(RejoinCheck, NeededAnswersDependOnNumberOfVoters) {
   RejoinCheck three(1, {3, 3, 30}, {5, {1, 2, 3}}, 3, 6);
   EXPECT_EQ(three.needed(), 2u);
   three.add_answer(2, says({3, 3, 29}));
-  three.add_answer(2, says({3, 3, 29}));  // twice is once
+  three.add_answer(2, says({3, 3, 29}));  // a repeated answer counts once
   EXPECT_EQ(three.verdict(), Verdict::kWait);
-  three.add_answer(9, says({3, 3, 29}));  // no voter
+  three.add_answer(9, says({3, 3, 29}));  // not a voter
   EXPECT_EQ(three.verdict(), Verdict::kWait);
   three.add_answer(3, says({4, 3, 31}));
   EXPECT_EQ(three.verdict(), Verdict::kCleared);
@@ -26,7 +26,7 @@
   EXPECT_EQ(RejoinCheck(1, {}, {5, {1}}, 1, 0).verdict(), Verdict::kCleared);
 }
 
-TEST(RejoinCheck, WhoeverHeardMoreFromItThanItsDiskKnowsTellsThatTheDiskIsOld) {
+TEST(RejoinCheck, LaterPositionKnownToAnotherProvesAStaleDisk) {
   RejoinCheck p(1, {3, 3, 30}, {5, {1, 2, 3}}, 3, 6);
   p.add_answer(2, says({3, 3, 30}, {3, 3, 31}));
   EXPECT_EQ(p.verdict(), Verdict::kStaleDisk);
@@ -34,11 +34,11 @@
   by_vote.add_answer(2, says({4, 3, 30}, {4, 3, 30}));
   by_vote.vouch();
   EXPECT_EQ(by_vote.verdict(), Verdict::kStaleDisk)
-      << "it had voted in a term that it has forgotten";
+      << "it had voted in a term that its disk does not know";
 }
 
-TEST(RejoinCheck, ADiskOfTheGroupsFirstSecondsIsAskedAboutByMoreThanItsOwnVoters) {
-  // By its own log it votes alone.
+TEST(RejoinCheck, DiskWithTooFewVotersNeedsAnswersFromHalfOfAllRouters) {
+  // Its own log lists it as the only voter.
   RejoinCheck p(1, {1, 1, 2}, {1, {1}}, 3, 6);
   EXPECT_EQ(p.verdict(), Verdict::kWait);
   p.add_answer(2, {{5, 5, 400}, {}, {90, {1, 2, 3}}});
@@ -51,9 +51,9 @@
   EXPECT_EQ(p.floor(), (LogPosition{5, 5, 400}));
 }
 
-// Every fleet of up to seven voters, every majority that a promise may stand on with this one in
-// it, every set of answers that clears: the floor is never below the promise.
-TEST(RejoinCheck, WhatClearsAlwaysHeardOfEveryPromise) {
+// For all groups of up to seven voters, all majorities with this voter that may hold an
+// acknowledged entry, and all sets of answers that clear it: the floor is never below that entry.
+TEST(RejoinCheck, FloorIsNeverBelowAnAcknowledgedEntry) {
   for (unsigned n = 2; n <= 7; ++n) {
     unsigned majority = n / 2 + 1, others = n - 1;
     std::set<std::uint64_t> voters;
--- a/tests/core/ledger/rollout_test.cpp
+++ b/tests/core/ledger/rollout_test.cpp
@@ -21,7 +21,7 @@
   return first;
 }
 
-TEST(Plan, IsReadBackAndNothingElseIs) {
+TEST(Plan, IsDecodedAndOtherBytesAreRejected) {
   for (const Plan& p : {Plan{1, 10, "new", {}, 7}, Plan{9, 100, {}, {}, 0},
                         Plan{2, 50, std::string("\0\xff", 2), "", 1}})
     EXPECT_EQ(Plan::parse(p.bytes()), p);
@@ -33,10 +33,10 @@
     EXPECT_FALSE(Plan::parse(bytes)) << bytes.substr(0, 40);
 }
 
-TEST(Plan, OneRollOutAtATimeAndNeverToFewer) {
+TEST(Plan, OneRolloutAtATimeAndShareNeverShrinks) {
   Plan p = *start_rollout({}, "a", 10).plan;
   EXPECT_EQ(p, (Plan{1, 10, "a", {}, 0}));
-  EXPECT_FALSE(start_rollout(p, "b", 10).plan) << "another is under way";
+  EXPECT_FALSE(start_rollout(p, "b", 10).plan) << "another is in progress";
   EXPECT_FALSE(widen(p, 10).plan);
   EXPECT_FALSE(widen(p, 101).plan);
   p = *widen(p, 100).plan;
@@ -47,15 +47,15 @@
   EXPECT_EQ(*start_rollout(p, "b", 10).plan, (Plan{2, 10, "b", "a", 0}));
 }
 
-TEST(Plan, BackIsBackHoweverOftenItIsAsked) {
+TEST(Plan, RollBackIsIdempotent) {
   Plan p = *start_rollout(Plan{4, 100, "a", {}, 0}, "bad", 30).plan;
   p = *roll_back(p).plan;
   EXPECT_EQ(p, (Plan{6, 100, "a", "a", 0}));
-  EXPECT_FALSE(roll_back(p).plan) << "a second time must not bring the bad one to everybody";
+  EXPECT_FALSE(roll_back(p).plan) << "a second roll-back must not return to the bad text";
   EXPECT_FALSE(roll_back({}).plan);
 }
 
-RC_GTEST_PROP(Plan, TheFirstAreAsManyAsAskedForAndStayAmongThem, ()) {
+RC_GTEST_PROP(Plan, SelectionMatchesShareAndOnlyGrows, ()) {
   auto names = routers(*rc::gen::inRange(1, 60));
   auto number = *rc::gen::inRange<std::uint64_t>(1, 1000);
   auto share = *rc::gen::inRange(1u, 100u), more = *rc::gen::inRange(share, 101u);
@@ -66,7 +66,7 @@
   for (const auto& name : some) RC_ASSERT(others.count(name) == 1u);
 }
 
-TEST(Plan, AnotherRollOutBeginsWithOthers) {
+TEST(Plan, EachRolloutSelectsOtherRoutersFirst) {
   auto names = routers(100);
   std::set<std::string> all;
   for (std::uint64_t n = 1; n <= 60; ++n) {
@@ -76,17 +76,17 @@
   EXPECT_GT(all.size(), 90u);
 }
 
-TEST(Adopter, TakesOneTextAfterTheOther) {
+TEST(Adopter, AppliesOneTextAfterTheOther) {
   Adopter a;
   a.set_current("own");
-  EXPECT_FALSE(a.next(0)) << "nobody wants anything";
+  EXPECT_FALSE(a.next(0)) << "there is no target";
   a.set_target(5, "one", 100);
   EXPECT_FALSE(a.next(99));
   auto job = a.next(100);
   ASSERT_TRUE(job);
   EXPECT_EQ(job->text, "one");
   a.set_target(6, "two", 100);
-  EXPECT_FALSE(a.next(200)) << "the first is under way";
+  EXPECT_FALSE(a.next(200)) << "the first is in progress";
   a.finish(Adopter::End::kAdopted, "", 300, 0);
   EXPECT_EQ(a.current(), label("one"));
   EXPECT_FALSE(a.at_target());
@@ -96,7 +96,7 @@
   EXPECT_FALSE(a.next(500));
 }
 
-TEST(Adopter, RefusesATextOnceAndStays) {
+TEST(Adopter, RejectsATextOnceAndKeepsTheCurrentOne) {
   Adopter a;
   a.set_target(5, "bad", 0);
   ASSERT_TRUE(a.next(0));
@@ -108,13 +108,13 @@
   EXPECT_TRUE(a.next(0));
   a.finish(Adopter::End::kAdopted, "", 0, 0);
   a.set_target(7, "bad", 0);
-  EXPECT_TRUE(a.next(0)) << "asked for anew, tried anew: what was missing may be there by now";
+  EXPECT_TRUE(a.next(0)) << "a new version is tried again: what was missing may exist by now";
   a.finish(Adopter::End::kRefused, "line 3", 0, 0);
   a.set_current(label("good"));
-  EXPECT_TRUE(a.next(0)) << "somebody has had a look at the files";
+  EXPECT_TRUE(a.next(0)) << "the files were read again";
 }
 
-TEST(Adopter, TriesADiskAgainEverMoreSeldom) {
+TEST(Adopter, RetriesAFailedDiskWithBackoff) {
   Adopter a;
   a.set_target(5, "one", 0);
   Micros now = 0, waited = 0;
@@ -131,7 +131,7 @@
   }
 }
 
-TEST(Adopter, WhatAHandHasChangedIsBroughtBack) {
+TEST(Adopter, TextChangedByHandIsReplaced) {
   Adopter a;
   a.set_target(5, "one", 0);
   a.next(0);
--- a/tests/core/ledger/state_test.cpp
+++ b/tests/core/ledger/state_test.cpp
@@ -12,17 +12,17 @@
 }
 Outcome apply(State& state, const Call& call) { return state.apply(to_bytes(call.json())); }
 
-TEST(LedgerState, ACallThatComesAgainIsAnsweredAsTheFirstTimeAndTakesEffectOnce) {
+TEST(LedgerState, RepeatedCallTakesEffectOnceWithTheSameOutcome) {
   State state;
   Outcome first = apply(state, put(1, "out/s-1", "out"));
   apply(state, {Call::Kind::kErase, "out/s-1", "", Call::kAny, "other", 8, 1, 0});
   EXPECT_EQ(apply(state, put(1, "out/s-1", "out")), first);
-  EXPECT_TRUE(state.values().empty()) << "put back by the other, not taken out again";
+  EXPECT_TRUE(state.values().empty()) << "erased by the other caller, not written again";
   EXPECT_EQ(apply(state, put(2, "out/s-1", "out")).status, Outcome::Status::kDone);
   EXPECT_EQ(apply(state, put(1, "out/s-2", "out")).status, Outcome::Status::kForgotten);
 }
 
-TEST(LedgerState, AValueIsChangedOnlyFromTheVersionThatWasExpected) {
+TEST(LedgerState, ChangeNeedsTheExpectedVersion) {
   State state;
   std::uint64_t version = apply(state, put(1, "value/a", "one", Call::kAbsent)).version;
   EXPECT_EQ(apply(state, put(2, "value/a", "two", Call::kAbsent)),
@@ -32,7 +32,7 @@
   EXPECT_EQ(state.values().at("value/a").text, "two");
 }
 
-TEST(LedgerState, WhatHasNoRoomIsRefusedAndChangesNothing) {
+TEST(LedgerState, FullStateRejectsValuesUnchanged) {
   State state;
   std::string large(kMaxValueBytes, 'x');
   std::uint64_t number = 0;
@@ -45,34 +45,34 @@
   EXPECT_EQ(state.values().count("value/more"), 0u);
 }
 
-TEST(LedgerState, WhoseAnswerMayBeForgottenIsNotTakenForNew) {
+TEST(LedgerState, CallOfAnEvictedCallerIsNotAppliedAgain) {
   State state;
   apply(state, put(1, "value/a", "first", Call::kAny, 1));
   for (std::uint64_t caller = 2; caller <= kMaxCallers + 1; ++caller)
     apply(state, put(1, "value/b", std::to_string(caller), Call::kAny, caller));
-  // It called before, and nobody knows any more what it was told.
+  // It called before, and its outcome has been evicted.
   EXPECT_EQ(apply(state, put(1, "value/a", "first", Call::kAny, 1)).status,
             Outcome::Status::kForgotten);
-  // One that began after all that was forgotten is new for certain.
+  // A caller that began after the last eviction is certainly new.
   Call fresh = put(1, "value/c", "new", Call::kAny, 99'999);
   fresh.known = state.position().at;
   EXPECT_EQ(apply(state, fresh).status, Outcome::Status::kDone);
 }
 
-TEST(LedgerState, BytesThatAreNoCallMoveThePositionAlone) {
+TEST(LedgerState, InvalidEntryAdvancesOnlyThePosition) {
   State state;
   EXPECT_EQ(state.apply("garbage").status, Outcome::Status::kBad);
   EXPECT_EQ(state.position().at, 1u);
   EXPECT_TRUE(state.values().empty());
-  std::string deep(100, '\x81');  // arrays in arrays
+  std::string deep(100, '\x81');  // nested arrays
   EXPECT_FALSE(from_bytes(deep + "\x01"));
   EXPECT_FALSE(State().restore(deep));
   EXPECT_FALSE(State().restore(to_bytes({{"p", 1}})));
 }
 
-// Over random calls: a snapshot taken anywhere and the calls after it give the same state, answers
-// and digest as all of the calls.
-TEST(LedgerState, ASnapshotAndTheRestAreTheWhole) {
+// For random calls: a snapshot taken at any point and the calls after it give the same state,
+// outcomes and digest as all calls.
+TEST(LedgerState, SnapshotPlusLaterCallsEqualsAllCalls) {
   bool good = rc::check([] {
     State whole, part;
     auto count = *rc::gen::inRange(1, 80), cut = *rc::gen::inRange(0, 80);
--- a/tests/core/ledger/view_test.cpp
+++ b/tests/core/ledger/view_test.cpp
@@ -18,7 +18,7 @@
   return view;
 }
 
-TEST(LedgerView, WhoIsALittleBehindIsGivenCallsAndOthersTheWhole) {
+TEST(LedgerView, UpdateHasCallsIfSlightlyBehindElseASnapshot) {
   View ahead = grown(40), behind = grown(30), empty;
   auto update = ahead.since(behind.position());
   EXPECT_EQ(update.calls.size(), 10u);
@@ -30,7 +30,7 @@
   EXPECT_EQ(empty.position(), ahead.position());
 }
 
-TEST(LedgerView, AVeryLongWayGoesInSeveralAnswers) {
+TEST(LedgerView, ManyCallsAreSplitIntoSeveralUpdates) {
   View ahead = grown(200), behind = grown(1);
   int answers = 0;
   while (behind.apply_update(ahead.since(behind.position())) == View::UpdateResult::kApplied)
@@ -39,11 +39,11 @@
   EXPECT_EQ(answers, 4);
 }
 
-TEST(LedgerView, NeverGoesBack) {
+TEST(LedgerView, NeverMovesBackwards) {
   View ahead = grown(40), behind = grown(30);
   EXPECT_EQ(ahead.apply_update(behind.since(Position())), View::UpdateResult::kStale);
   EXPECT_EQ(ahead.position().at, 40u);
-  // But into a later epoch, even where that has lost the end of what was before.
+  // It moves to a later epoch even if that has lost the last calls of the epoch before.
   View rescued = grown(20);
   rescued.raise_epoch(2);
   EXPECT_EQ(ahead.apply_update(rescued.since(ahead.position())), View::UpdateResult::kApplied);
@@ -51,13 +51,13 @@
   EXPECT_EQ(ahead.apply_update(grown(60).since(ahead.position())), View::UpdateResult::kStale);
 }
 
-TEST(LedgerView, AnotherHistoryIsNotTaken) {
+TEST(LedgerView, UpdateFromAnotherHistoryIsRejected) {
   View one = grown(30), other = grown(29);
   other.apply(entry(77));
   EXPECT_EQ(one.apply_update(other.since(one.position())), View::UpdateResult::kMismatch);
   View::Update forged{one.position(), {1, 31, 12345}, {entry(30)}, {}};
   EXPECT_EQ(one.apply_update(forged), View::UpdateResult::kMismatch)
-      << "its digest is of other calls";
+      << "its digest belongs to other calls";
   other.apply(entry(30));
   View::Update mixed = other.since(other.position());
   mixed.calls = {entry(30)};
--- a/tests/daemon/audit/trail_files_test.cpp
+++ b/tests/daemon/audit/trail_files_test.cpp
@@ -1,5 +1,6 @@
-// Trails on real disks: bounded, gone on with by the next process, and honest about what is lost;
-// and those of several real routers held against what the price caches saw.
+// Trails on real disks: they are bounded, continued by the next process, and report lost blocks.
+// The trails of several real routers are compared with the requests that the cache servers
+// received.
 #include "daemon/audit/trail_files.hpp"
 
 #include <gtest/gtest.h>
@@ -46,7 +47,7 @@
                                           notes_ += text + "\n";
                                         });
   }
-  bool noted(const std::string& what) {
+  bool wait_for_note(const std::string& what) {
     return eventually([&] {
       std::lock_guard guard(mutex_);
       return notes_.find(what) != notes_.npos;
@@ -74,11 +75,11 @@
   std::mutex mutex_;
 };
 
-TEST_F(Trails, AreBoundedAndTheOldestFilesGo) {
+TEST_F(Trails, SizeIsBoundedByDeletingTheOldestFiles) {
   auto files = open();
   for (int k = 0; k < 3000; ++k) {
     files->write(body(k));
-    // What comes faster than the disk takes it is another test's.
+    // Blocks that arrive faster than the disk writes are covered by another test.
     if (k % 300 == 299) ASSERT_TRUE(last_is(k));
   }
   files.reset();
@@ -93,11 +94,11 @@
   EXPECT_EQ(numbers(trail).back(), 2999);
 }
 
-TEST_F(Trails, GoOnWhereTheLastProcessEndedWhateverItLeft) {
+TEST_F(Trails, ContinueAfterATornEndOfTheLastProcess) {
   open()->write(body(1));
   auto whole = trail_files(folder_ + "/t");
   ASSERT_EQ(whole.size(), 1u);
-  std::ofstream(whole[0], std::ios::app) << "0123456789abcdef 3 {\"k\":";  // ended while it wrote
+  std::ofstream(whole[0], std::ios::app) << "0123456789abcdef 3 {\"k\":";  // killed while it wrote
   open()->write(body(2));
   std::ofstream(folder_ + "/t/trail-00000000000000000005.log") << "torn at its first li";
   open()->write(body(3));
@@ -108,13 +109,13 @@
   EXPECT_EQ(trail.faults[1].kind, Fault::Kind::kTorn);
 }
 
-TEST_F(Trails, TheNextProcessWaitsForTheOneThatStillWrites) {
+TEST_F(Trails, NextProcessWaitsForTheLockOfThePreviousOne) {
   auto old = open();
   old->write(body(1));
   ASSERT_TRUE(last_is(1));
   auto fresh = open();
   fresh->write(body(3));
-  ASSERT_TRUE(noted("another process writes there"));
+  ASSERT_TRUE(wait_for_note("another process writes there"));
   old->write(body(2));
   old.reset();
   ASSERT_TRUE(last_is(3));
@@ -122,15 +123,15 @@
   EXPECT_TRUE(read().faults.empty());
 }
 
-/// A folder that can't be had for a while: what waits is bounded, and what was lost is told.
-TEST_F(Trails, ADiskThatFailsCostsBlocksAndSaysSo) {
+/// The folder is unavailable for a while: the queue is bounded, and dropped blocks are reported.
+TEST_F(Trails, FailingDiskDropsBlocksAndReportsTheGap) {
   std::ofstream(folder_ + "/t") << "no folder";
   auto files = open(16 << 20);
   for (int k = 0; k < 3000; ++k) files->write(body(k));
-  ASSERT_TRUE(noted("the trail is not written"));
-  EXPECT_FALSE(files->consume_gap());  // there is no room for saying all anew yet
+  ASSERT_TRUE(wait_for_note("the trail is not written"));
+  EXPECT_FALSE(files->consume_gap());  // no room for a full view yet
   fs::remove(folder_ + "/t");
-  ASSERT_TRUE(noted("written again"));
+  ASSERT_TRUE(wait_for_note("written again"));
   ASSERT_TRUE(eventually([&] { return files->consume_gap(); }));
   EXPECT_FALSE(files->consume_gap());
   files->write(body(9999));
@@ -144,7 +145,7 @@
   EXPECT_EQ(numbers(trail).back(), 9999);
 }
 
-/// Routers as processes of their own.
+/// Routers as separate processes.
 class Routers : public Trails {
  protected:
   static constexpr int kRouters = 3;
@@ -209,7 +210,7 @@
       client.line();
     }
   }
-  void retune(int r) {
+  void reload_settings(int r) {
     write(r, 3);
     ::kill(pids_[r], SIGHUP);
     ASSERT_TRUE(
@@ -226,22 +227,22 @@
   pid_t pids_[kRouters] = {};
 };
 
-/// One router is never told of new settings, one is killed and started with the old ones.
-TEST_F(Routers, TrailsSayWhatThePriceCachesSawAndWhoIsLate) {
+/// One router never gets the new settings; one is killed and restarted with the old ones.
+TEST_F(Routers, TrailsMatchReceivedRequestsAndShowLateRouters) {
   for (int r = 0; r < kRouters; ++r) {
     start(r);
     reads(r, "a", 60);
   }
   for (int r = 0; r < 2; ++r) {
-    retune(r);
+    reload_settings(r);
     reads(r, "b", 40 + r);
   }
-  // All that r2 did is on its disk before it is killed: nothing else could tell of it.
+  // Wait until all of r2's activity is on its disk before killing it.
   ASSERT_TRUE(eventually([&] {
-    std::uint64_t told = 0;
+    std::uint64_t recorded = 0;
     History now = history();
-    for (const auto& s : now.periods()) told += s.router == "r2" ? s.attempts() : 0;
-    return told == 101;
+    for (const auto& s : now.periods()) recorded += s.router == "r2" ? s.attempts() : 0;
+    return recorded == 101;
   }));
   end(1, SIGKILL);
   start(1);
@@ -250,12 +251,12 @@
 
   History h = history();
   EXPECT_TRUE(h.violations().empty());
-  std::map<std::string, std::uint64_t> told;
+  std::map<std::string, std::uint64_t> recorded;
   for (const auto& s : h.periods())
-    for (const auto& [server, types] : s.sent) told[server] += types.at("read");
-  EXPECT_EQ(told["s-0"], caches_[0].lines().size());
-  EXPECT_EQ(told["s-1"], caches_[1].lines().size());
-  EXPECT_EQ(told["s-0"] + told["s-1"], 60u * 3 + 40 + 41 + 30);
+    for (const auto& [server, types] : s.sent) recorded[server] += types.at("read");
+  EXPECT_EQ(recorded["s-0"], caches_[0].lines().size());
+  EXPECT_EQ(recorded["s-1"], caches_[1].lines().size());
+  EXPECT_EQ(recorded["s-0"] + recorded["s-1"], 60u * 3 + 40 + 41 + 30);
 
   std::map<std::string, std::uint64_t> under;  // attempts, by settings
   for (const auto& s : h.periods()) under[s.versions.at("settings")] += s.attempts();
@@ -271,17 +272,17 @@
   for (int r = 0; r < kRouters; ++r) EXPECT_TRUE(read_trail(path(r, "")).faults.empty()) << r;
 }
 
-/// A disk that takes no more costs no request, and what the trail lacks is known to be lacking.
-TEST_F(Routers, AFullDiskCostsTheTrailAndNoRequest) {
+/// A full disk affects no request, and the trail is completed once there is space again.
+TEST_F(Routers, FullDiskDelaysTheTrailButNoRequest) {
   start(0);
   reads(0, "a", 20);
-  std::uint64_t told = 0;
+  std::uint64_t recorded = 0;
   auto count = [&] {
     History h;
     h.add(read_trail(path(0, "")));
-    told = 0;
-    for (const auto& s : h.periods()) told += s.attempts();
-    return told;
+    recorded = 0;
+    for (const auto& s : h.periods()) recorded += s.attempts();
+    return recorded;
   };
   ASSERT_TRUE(eventually([&] { return count() == 20; }));
   auto size = fs::file_size(trail_files(path(0, ""))[0]);
@@ -294,14 +295,14 @@
   EXPECT_TRUE(read_trail(path(0, "")).faults.empty());
   EXPECT_EQ(count(), 20u);
   ASSERT_EQ(::prlimit(pids_[0], RLIMIT_FSIZE, &before, nullptr), 0);
-  // It waited, and nothing was lost; the file goes on where it was.
-  ASSERT_TRUE(eventually([&] { return count() == 90; })) << told;
+  // The blocks were queued and none was lost; the same file is continued.
+  ASSERT_TRUE(eventually([&] { return count() == 90; })) << recorded;
   EXPECT_TRUE(read_trail(path(0, "")).faults.empty());
   EXPECT_EQ(trail_files(path(0, "")).size(), 1u);
 }
 
-/// Killed at any moment: what is on disk is whole up to a torn end, and counts nothing twice.
-TEST_F(Routers, AreKilledAgainAndAgainAndTheTrailGoesOn) {
+/// Killed at any moment: the trail is complete up to a torn end, and no attempt counts twice.
+TEST_F(Routers, TrailContinuesAfterRepeatedKills) {
   constexpr int kLives = 8;
   for (int life = 0; life < kLives; ++life) {
     start(0);
@@ -315,12 +316,12 @@
   History h;
   h.add(trail);
   EXPECT_TRUE(h.violations().empty());
-  std::map<std::string, std::uint64_t> told;
+  std::map<std::string, std::uint64_t> recorded;
   for (const auto& s : h.periods())
-    for (const auto& [server, types] : s.sent) told[server] += types.at("read");
-  EXPECT_LE(told["s-0"], caches_[0].lines().size());
-  EXPECT_LE(told["s-1"], caches_[1].lines().size());
-  // One process's blocks before the next one's: a life each, and the last.
+    for (const auto& [server, types] : s.sent) recorded[server] += types.at("read");
+  EXPECT_LE(recorded["s-0"], caches_[0].lines().size());
+  EXPECT_LE(recorded["s-1"], caches_[1].lines().size());
+  // One start block per process, including the last one.
   int lives = 0;
   for (const auto& b : trail.blocks) lives += b.body.value("why", "") == "start";
   EXPECT_EQ(lives, kLives + 1);
--- a/tests/daemon/ledger/rescue_test.cpp
+++ b/tests/daemon/ledger/rescue_test.cpp
@@ -1,5 +1,5 @@
-// A majority lost for good: what is left makes a new group, and the old one can't come back as if
-// nothing had been. Nodes in one process, on made-up time.
+// Rescue after the permanent loss of a majority: the remaining disk forms a new group, and the old
+// members can't continue the old one. Nodes run in one process on simulated time.
 #include "daemon/ledger/rescue.hpp"
 
 #include <gtest/gtest.h>
@@ -76,14 +76,14 @@
     }
   }
   std::optional<Outcome> put(const std::string& at, const std::string& text) {
-    std::optional<Outcome> told;
+    std::optional<Outcome> outcome;
     Call call;
     call.kind = Call::Kind::kPut;
     call.name = "value/a";
     call.text = text;
-    all[at].node->call(call, [&](std::optional<Outcome> o, const std::string&) { told = o; });
+    all[at].node->call(call, [&](std::optional<Outcome> o, const std::string&) { outcome = o; });
     run(1'500'000);
-    return told;
+    return outcome;
   }
   std::string value(const std::string& at) {
     const auto& values = all[at].node->view().state().values();
@@ -106,19 +106,19 @@
   g.run(8'000'000);
 }
 
-TEST(Rescue, MakesAGroupOfTheBestThatIsLeftAndTheOldOneJoinsIt) {
+TEST(Rescue, NewGroupFromOneDiskIsJoinedByTheOldMembers) {
   Group g;
   begin(g);
   for (int i = 0; i < 20; ++i) ASSERT_TRUE(g.put("r2", "before " + std::to_string(i)));
   g.run(1'000'000);
-  // r1 and r2 stop; r3 alone can't be asked for anything.
+  // r1 and r2 stop; r3 alone can't commit calls.
   Image old = g.all["r1"].disk.image;
   for (const char* name : {"r1", "r2"}) g.all[name].node.reset();
   EXPECT_FALSE(g.put("r3", "without a majority"));
   g.all["r3"].node.reset();
 
   std::string error;
-  EXPECT_FALSE(plan_rescue(Image(), "r3", 77, "made 1", error)) << "of nobody's files";
+  EXPECT_FALSE(plan_rescue(Image(), "r3", 77, "made 1", error)) << "an empty image";
   auto plan = plan_rescue(g.all["r3"].disk.image, "r3", 77, "made 1", error);
   ASSERT_TRUE(plan) << error;
   EXPECT_EQ(plan->report["epoch"], 2);
@@ -128,7 +128,7 @@
   EXPECT_EQ(g.value("r3"), "before 19");
   ASSERT_TRUE(g.put("r3", "after"));
 
-  // The old majority comes back with its disks: it holds nothing against the new group.
+  // The old majority returns with its disks and must not override the new group.
   for (const char* name : {"r1", "r2"}) g.all[name].start();
   g.run(10'000'000);
   for (const char* name : {"r1", "r2", "r3"}) {
@@ -140,19 +140,19 @@
   EXPECT_EQ(g.all["r3"].node->status()["members"].size(), 3u);
 }
 
-TEST(Rescue, DescribesWhatADiskHolds) {
+TEST(Rescue, DescribesAnImage) {
   Group g;
   begin(g);
   ASSERT_TRUE(g.put("r1", "x"));
-  auto told = describe(g.all["r1"].disk.image);
-  EXPECT_EQ(told["epoch"], 1);
-  EXPECT_EQ(told["members"].size(), 3u);
-  EXPECT_EQ(told["state"]["values"], 1);
+  auto description = describe(g.all["r1"].disk.image);
+  EXPECT_EQ(description["epoch"], 1);
+  EXPECT_EQ(description["members"].size(), 3u);
+  EXPECT_EQ(description["state"]["values"], 1);
   EXPECT_TRUE(describe(Image())["members"].empty());
 }
 
-// A vote that was given is known after a start: nobody else gets one in that term.
-TEST(Voter, KnowsItsVoteAfterAStart) {
+// A vote is still known after a restart, so that no second vote is given in that term.
+TEST(Voter, VoteSurvivesARestart) {
   Group g;
   begin(g);
   g.run(1'000'000);
--- a/tests/daemon/ledger/rollout_file_test.cpp
+++ b/tests/daemon/ledger/rollout_file_test.cpp
@@ -1,4 +1,4 @@
-// A rolled file whose neighbours on disk can't be read or put back.
+// Managed files whose auxiliary files can't be read or restored.
 #include "daemon/ledger/rollout_file.hpp"
 
 #include <gtest/gtest.h>
@@ -28,7 +28,7 @@
   std::string folder_, path_;
 };
 
-TEST_F(RolloutFileTest, GoesToAnotherTextAndBackToItsOwn) {
+TEST_F(RolloutFileTest, SwapsToAnotherTextAndBackToItsOwn) {
   RolloutFile file(path_);
   EXPECT_EQ(file.label(), "own");
   ASSERT_EQ(file.stage("rolled\n"), "");
@@ -40,19 +40,19 @@
   EXPECT_EQ(file.label(), "own");
 }
 
-TEST_F(RolloutFileTest, AnOwnTextThatCantBeReadIsNotWrittenOver) {
+TEST_F(RolloutFileTest, UnreadableOwnTextIsNotOverwritten) {
   RolloutFile file(path_);
   ASSERT_EQ(file.stage("rolled\n"), "");
   ASSERT_TRUE(file.swap());
   fs::rename(path_ + ".own", path_ + ".kept");
-  fs::create_directory(path_ + ".own");  // a read of it fails
+  fs::create_directory(path_ + ".own");  // reading it fails
   EXPECT_NE(file.stage("next\n"), "");
   EXPECT_NE(file.label(), "own");
   EXPECT_TRUE(fs::is_directory(path_ + ".own"));
   EXPECT_EQ(text_of(path_), "rolled\n");
 }
 
-TEST_F(RolloutFileTest, AnUndoThatFailedIsOwedUntilItIsDone) {
+TEST_F(RolloutFileTest, FailedUndoStaysPendingUntilItSucceeds) {
   RolloutFile file(path_);
   ASSERT_EQ(file.stage("rolled\n"), "");
   ASSERT_TRUE(file.swap());
--- a/tests/daemon/ledger/service_test.cpp
+++ b/tests/daemon/ledger/service_test.cpp
@@ -1,5 +1,5 @@
-// Real daemons that hold a ledger together: what an operator is told at one holds at all of them,
-// also when machines are lost with their disks.
+// Real daemons with a shared ledger: a change that an operator makes at one router holds at all of
+// them, also when machines are lost with their disks.
 #include <fcntl.h>
 #include <gtest/gtest.h>
 #include <poll.h>
@@ -32,11 +32,11 @@
 using core::ledger::Json;
 using core::ledger::Outcome;
 using Clock = std::chrono::steady_clock;
-constexpr int kWithinS = 20;  // a bound on hanging, not an expectation
+constexpr int kHangTimeoutSeconds = 20;  // guards against hanging; not an expected time
 
 template <typename F>
 bool eventually(F&& f) {
-  auto until = Clock::now() + std::chrono::seconds(kWithinS);
+  auto until = Clock::now() + std::chrono::seconds(kHangTimeoutSeconds);
   while (Clock::now() < until) {
     if (f()) return true;
     std::this_thread::sleep_for(std::chrono::milliseconds(20));
@@ -117,8 +117,8 @@
     auto a = kit::ask_ledger(ledger(r), "fleet", "status", Json::object(), 500, error);
     return a ? a->body : Json::object();
   }
-  /// Somebody leads three that vote, each of them a router as it is now, with its disk, and as far
-  /// as the leader.
+  /// Whether a leader has three voters, each with the current identity of its router, past its
+  /// rejoin check and caught up with the leader.
   bool group_complete() {
     std::map<std::string, Json> now;
     Json leads;
@@ -136,7 +136,7 @@
     }
     return true;
   }
-  void found() {
+  void create_group() {
     for (int r = 0; r < kRouters; ++r) start(r);
     std::string error;
     ASSERT_TRUE(eventually([&] {
@@ -144,8 +144,8 @@
     })) << error;
     ASSERT_TRUE(eventually([&] { return group_complete(); })) << status(0).dump(1);
   }
-  /// What an operator's line is answered.
-  std::string say(int r, const std::string& line) {
+  /// Sends a line to the operator port and returns the answer.
+  std::string operator_command(int r, const std::string& line) {
     net::Fd fd(::socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0));
     auto to = net::parse_address(calls(r));
     if (::connect(fd.get(), reinterpret_cast<sockaddr*>(&*to), sizeof *to) != 0) return "";
@@ -157,13 +157,13 @@
       in.append(bytes, static_cast<std::size_t>(got));
     return in;
   }
-  std::string disabled(int r) {
-    std::string dump = say(r, "DUMP");
+  std::string banned_count(int r) {
+    std::string dump = operator_command(r, "DUMP");
     auto json = Json::parse(dump.substr(0, dump.find("\r\n")), nullptr, false);
     return json.is_object() ? json.value("targets_disabled", Json()).dump() : "none";
   }
 
-  /// What the tool's command line ends with.
+  /// Runs a command of the tool and returns its exit code.
   int rollout(const std::string& step, const std::string& more = "") {
     CLI::App app;
     int code = -1;
@@ -199,7 +199,7 @@
     std::ifstream in(path(r, what));
     return {std::istreambuf_iterator<char>(in), {}};
   }
-  int with(const std::string& text) const {
+  int routers_with(const std::string& text) const {
     int n = 0;
     for (int r = 0; r < kRouters; ++r) n += read(r, ".rolled") == text;
     return n;
@@ -212,85 +212,85 @@
   int pids_[kRouters] = {};
 };
 
-TEST_F(Daemons, AServerTakenOutAtOneIsOutAtAllAndStaysSoWhenMachinesAreLost) {
-  found();
-  EXPECT_EQ(say(1, "OFFLINE s-0"), "SUCCESS\r\n");
-  EXPECT_EQ(disabled(1), "1") << "where it was asked it holds from the yes";
+TEST_F(Daemons, BanAtOneRouterHoldsAtAllAndSurvivesLostMachines) {
+  create_group();
+  EXPECT_EQ(operator_command(1, "OFFLINE s-0"), "SUCCESS\r\n");
+  EXPECT_EQ(banned_count(1), "1") << "at the router that was asked it holds from the answer on";
   for (int r = 0; r < kRouters; ++r)
-    EXPECT_TRUE(eventually([&] { return disabled(r) == "1"; })) << r;
-  // Each machine in turn is lost with its disk, a new one comes in its place.
+    EXPECT_TRUE(eventually([&] { return banned_count(r) == "1"; })) << r;
+  // Each machine in turn is lost with its disk and replaced by a new one.
   for (int lost = 0; lost < kRouters; ++lost) {
     std::string before = status(lost).value("identity", "");
     kill(lost);
     fs::remove_all(path(lost, ".ledger"));
     start(lost);
-    ASSERT_TRUE(eventually([&] { return disabled(lost) == "1"; })) << lost;
+    ASSERT_TRUE(eventually([&] { return banned_count(lost) == "1"; })) << lost;
     EXPECT_NE(status(lost).value("identity", ""), before);
     ASSERT_TRUE(eventually([&] { return group_complete(); })) << lost;
   }
-  EXPECT_EQ(say(3, "ONLINE s-0"), "SUCCESS\r\n");
+  EXPECT_EQ(operator_command(3, "ONLINE s-0"), "SUCCESS\r\n");
   for (int r = 0; r < kRouters; ++r)
-    EXPECT_TRUE(eventually([&] { return disabled(r) == "0"; })) << r;
+    EXPECT_TRUE(eventually([&] { return banned_count(r) == "0"; })) << r;
 }
 
-TEST_F(Daemons, WithoutAMajorityPromisesAreRefusedAndTheLastStateHolds) {
-  found();
-  ASSERT_EQ(say(0, "OFFLINE s-0"), "SUCCESS\r\n");
-  ASSERT_TRUE(eventually([&] { return disabled(3) == "1"; }));
+TEST_F(Daemons, WithoutAMajorityCallsFailAndTheLastStateHolds) {
+  create_group();
+  ASSERT_EQ(operator_command(0, "OFFLINE s-0"), "SUCCESS\r\n");
+  ASSERT_TRUE(eventually([&] { return banned_count(3) == "1"; }));
   for (int r = 0; r < 3; ++r) kill(r);
   auto asked = Clock::now();
-  std::string told = say(3, "ONLINE s-0");
-  EXPECT_EQ(told.rfind("FAILURE no answer from a majority", 0), 0u) << told;
+  std::string answer = operator_command(3, "ONLINE s-0");
+  EXPECT_EQ(answer.rfind("FAILURE no answer from a majority", 0), 0u) << answer;
   EXPECT_LT(Clock::now() - asked, std::chrono::seconds(5));
-  EXPECT_EQ(disabled(3), "1");
+  EXPECT_EQ(banned_count(3), "1");
   kill(3);
   start(3);  // alone, and with its disk
-  EXPECT_TRUE(eventually([&] { return disabled(3) == "1"; }));
+  EXPECT_TRUE(eventually([&] { return banned_count(3) == "1"; }));
 }
 
-TEST_F(Daemons, AnotherFleetsRouterIsNotHeard) {
+TEST_F(Daemons, FramesOfAnotherFleetAreIgnored) {
   write(3, "stranger");
   for (int r = 0; r < kRouters; ++r) start(r);
   std::string error;
   ASSERT_TRUE(eventually([&] {
     return kit::ask_ledger(ledger(0), "fleet", "found", Json::object(), 500, error).has_value();
   }));
-  ASSERT_TRUE(eventually([&] { return group_complete(); })) << "of the three others";
+  ASSERT_TRUE(eventually([&] { return group_complete(); })) << "with the three others";
   EXPECT_FALSE(kit::ask_ledger(ledger(3), "fleet", "status", Json::object(), 300, error));
   auto s = kit::ask_ledger(ledger(3), "stranger", "status", Json::object(), 500, error);
   ASSERT_TRUE(s);
   EXPECT_EQ(s->body.value("group", ""), "0");
 }
 
-// In JSON a router's log begins each line with a brace: seen from outside, that is who acts on it.
+// With JSON logs each line begins with a brace, which shows that a router uses this text.
 constexpr char kJson[] = "log all { format = json; }\n";
 
-TEST_F(Daemons, ATextGoesToAPartOfTheRoutersThenToAllAndBack) {
-  found();
-  EXPECT_EQ(rollout("widen", "--share 50"), 1) << "nothing is under way";
+TEST_F(Daemons, RolloutReachesAShareThenAllAndIsRolledBack) {
+  create_group();
+  EXPECT_EQ(rollout("widen", "--share 50"), 1) << "no roll-out is in progress";
   ASSERT_EQ(rollout("begin", text_file(kJson) + " --share 25"), 0);
-  ASSERT_TRUE(eventually([&] { return with(kJson) == 1 && rollout("status") == 0; }));
+  ASSERT_TRUE(eventually([&] { return routers_with(kJson) == 1 && rollout("status") == 0; }));
   for (int r = 0; r < kRouters; ++r)
     EXPECT_EQ(read(r, ".log").find("\n{") != std::string::npos, read(r, ".rolled") == kJson) << r;
-  EXPECT_EQ(rollout("begin", text_file("# other\n") + " --share 25"), 1) << "one is under way";
-  // Whoever was killed comes back with what it had.
+  EXPECT_EQ(rollout("begin", text_file("# other\n") + " --share 25"), 1) << "one is in progress";
+  // A killed router returns with the text that it had.
   int first = 0;
   while (read(first, ".rolled") != kJson) ++first;
   kill(first);
-  EXPECT_EQ(rollout("widen", "--share 100"), 1) << "the first one does not act on it";
+  EXPECT_EQ(rollout("widen", "--share 100"), 1) << "the selected router does not act on it";
   start(first);
   ASSERT_TRUE(eventually([&] { return rollout("status") == 0; }));
   ASSERT_EQ(rollout("widen", "--share 100"), 0);
   ASSERT_TRUE(eventually([&] { return rollout("status") == 0; }));
-  EXPECT_EQ(with(kJson), kRouters);
+  EXPECT_EQ(routers_with(kJson), kRouters);
   ASSERT_EQ(rollout("back"), 0);
-  EXPECT_EQ(rollout("back"), 1) << "back from where it has gone back to";
+  EXPECT_EQ(rollout("back"), 1) << "already rolled back";
   ASSERT_TRUE(eventually([&] { return rollout("status") == 0; }));
-  EXPECT_EQ(with(kOwnText), kRouters);
+  EXPECT_EQ(routers_with(kOwnText), kRouters);
 }
 
-TEST_F(Daemons, ATextThatCannotBeUsedChangesNothing) {
-  found();
+TEST_F(Daemons, UnusableTextIsRejectedAndChangesNothing) {
+  create_group();
   for (const char* text :
        {"limit a { in_flight = none; }\n", "ledger fleet2 { folder = \"/tmp\"; }\n",
         "peer r9 { address = \"127.0.0.1:1\"; hall = h1; }\n"}) {
@@ -301,32 +301,32 @@
         refused += status(r)["rollouts"]["operator"].contains("refused");
       return refused == 2;
     })) << status(0).dump(1);
-    EXPECT_EQ(with(kOwnText), kRouters);
+    EXPECT_EQ(routers_with(kOwnText), kRouters);
     EXPECT_EQ(rollout("widen", "--share 100"), 1);
     ASSERT_EQ(rollout("back"), 0);
     ASSERT_TRUE(eventually([&] { return rollout("status") == 0; }));
   }
-  EXPECT_EQ(say(1, "OFFLINE s-0"), "SUCCESS\r\n") << "they go on as before";
+  EXPECT_EQ(operator_command(1, "OFFLINE s-0"), "SUCCESS\r\n") << "the routers continue as before";
 }
 
-TEST_F(Daemons, AFileChangedByHandAndAFullDiskComeRight) {
-  found();
+TEST_F(Daemons, FileChangedByHandAndFullDiskRecover) {
+  create_group();
   rlimit none{0, RLIM_INFINITY}, any{RLIM_INFINITY, RLIM_INFINITY};
   ASSERT_EQ(::prlimit(pids_[3], RLIMIT_FSIZE, &none, nullptr), 0);
   ASSERT_EQ(rollout("begin", text_file(kJson) + " --share 100"), 0);
-  ASSERT_TRUE(eventually([&] { return with(kJson) == 3; }));
+  ASSERT_TRUE(eventually([&] { return routers_with(kJson) == 3; }));
   EXPECT_EQ(read(3, ".rolled"), kOwnText);
   ASSERT_EQ(::prlimit(pids_[3], RLIMIT_FSIZE, &any, nullptr), 0);
-  ASSERT_TRUE(eventually([&] { return with(kJson) == 4 && rollout("status") == 0; }));
+  ASSERT_TRUE(eventually([&] { return routers_with(kJson) == 4 && rollout("status") == 0; }));
   std::ofstream(path(1, ".rolled")) << "# by hand\n";
   ::kill(pids_[1], SIGHUP);
-  EXPECT_TRUE(eventually([&] { return with(kJson) == 4; })) << read(1, ".rolled");
+  EXPECT_TRUE(eventually([&] { return routers_with(kJson) == 4; })) << read(1, ".rolled");
 }
 
-// r1 and r4 are of one hall: only they can take each other's place without a hall for two keepers.
-// One of them leads at first, since r1 began the group.
-TEST_F(Daemons, AKeepersPlaceIsMovedEvenTheLeaders) {
-  found();
+// r1 and r4 are in one zone, so only they can replace each other without two voters in one zone.
+// One of them leads at first, since r1 created the group.
+TEST_F(Daemons, VoterIsMovedEvenIfItLeads) {
+  create_group();
   auto keeps = [&](const std::string& name) {
     for (int r = 0; r < kRouters; ++r) {
       Json s = status(r);
@@ -339,50 +339,50 @@
   for (int round = 0; round < 2; ++round) {
     ASSERT_TRUE(eventually([&] { return keeps("r2") && keeps("r3") && group_complete(); }));
     std::string from = keeps("r1") ? "r1" : "r4", to = from == "r1" ? "r4" : "r1";
-    EXPECT_EQ(tool("ledger move", "r2 r3"), 1) << "both keep";
-    EXPECT_EQ(tool("ledger move", to + " r2"), 0) << "so it is already";
-    EXPECT_EQ(tool("ledger move", "r2 " + to), 1) << "two of three in one hall";
+    EXPECT_EQ(tool("ledger move", "r2 r3"), 1) << "both are voters";
+    EXPECT_EQ(tool("ledger move", to + " r2"), 0) << "already done";
+    EXPECT_EQ(tool("ledger move", "r2 " + to), 1) << "two of three in one zone";
     EXPECT_EQ(tool("ledger move", from + " " + to), 0);
     EXPECT_TRUE(keeps(to));
     EXPECT_FALSE(keeps(from));
   }
   EXPECT_EQ(tool("ledger members"), 0);
-  EXPECT_EQ(say(1, "OFFLINE s-0"), "SUCCESS\r\n");
+  EXPECT_EQ(operator_command(1, "OFFLINE s-0"), "SUCCESS\r\n");
 }
 
-TEST_F(Daemons, TheAuditNamesWhoIsBehindAndWhy) {
-  found();
+TEST_F(Daemons, AuditListsLateRoutersWithTheCause) {
+  create_group();
   EXPECT_TRUE(eventually([&] { return tool("audit") == 0; }));
   kill(3);
-  EXPECT_EQ(tool("audit"), 1) << "r4 says nothing";
+  EXPECT_EQ(tool("audit"), 1) << "r4 does not answer";
   start(3);
   EXPECT_TRUE(eventually([&] { return tool("audit") == 0; }));
   ASSERT_EQ(rollout("begin", text_file("no text of ours\n") + " --share 25"), 0);
   EXPECT_TRUE(eventually([&] {
     testing::internal::CaptureStdout();
     int code = tool("audit", "--json");
-    Json told = Json::parse(testing::internal::GetCapturedStdout());
-    return code == 1 && told["current"] == kRouters - 1 && told["late"].size() == 1 &&
-           told["late"][0]["cause"] == "refused" && told["late"][0]["kind"] == "file/operator";
+    Json report = Json::parse(testing::internal::GetCapturedStdout());
+    return code == 1 && report["current"] == kRouters - 1 && report["late"].size() == 1 &&
+           report["late"][0]["cause"] == "refused" && report["late"][0]["kind"] == "file/operator";
   }));
   ASSERT_EQ(rollout("back"), 0);
   EXPECT_TRUE(eventually([&] { return tool("audit") == 0; }));
 }
 
-/// Of a machine that is lost with its disk others tell what it acted on and where its trail stood,
-/// also when one of those that held it is lost too.
-TEST_F(Daemons, OfALostMachineOthersTellWhatItActedOn) {
+/// Other routers hold what a machine that is lost with its disk acted on and the position of its
+/// trail, also when one of the holders is lost too.
+TEST_F(Daemons, SummaryOfALostMachineIsHeldByOthers) {
   for (int r = 0; r < kRouters; ++r) write(r, "fleet", true);
-  found();
-  auto heard = [&](const std::string& router, bool former) {
+  create_group();
+  auto summary_of = [&](const std::string& router, bool former) {
     testing::internal::CaptureStdout();
     tool("audit", "--json");
-    Json told = Json::parse(testing::internal::GetCapturedStdout());
-    for (const Json& h : told["heard"])
+    Json report = Json::parse(testing::internal::GetCapturedStdout());
+    for (const Json& h : report["heard"])
       if (h["router"] == router && h["former"] == former) return h;
     return Json();
   };
-  // Its trail's mark has come to others, and both that hold it have it.
+  // Wait until both holders have the latest position of its trail.
   Json own;
   ASSERT_TRUE(eventually([&] {
     own = status(1);
@@ -397,28 +397,28 @@
   kill(1);
   EXPECT_EQ(trail("check", path(1, ".trail") + " --fleet " + path(0, ".conf")), 0);
   fs::remove_all(path(1, ".ledger"));
-  // Last week's copy of a trail is whole in itself, and not what others know of it.
+  // An old copy of a trail is consistent in itself but differs from the position that others hold.
   for (const std::string& file : audit::trail_files(path(1, ".trail")))
     fs::resize_file(file, read_file(file).find('\n') + 1);
   EXPECT_EQ(trail("check", path(1, ".trail")), 0);
   EXPECT_EQ(trail("check", path(1, ".trail") + " --fleet " + path(0, ".conf")), 1);
   fs::remove_all(path(1, ".trail"));
-  Json lost = heard("r2", false);
+  Json lost = summary_of("r2", false);
   ASSERT_TRUE(lost.is_object());
   EXPECT_EQ(lost["said"]["trail"], own["trail"]);
   EXPECT_EQ(lost["said"]["acts"], own["acts"]);
-  EXPECT_LT(lost["age_us"], kWithinS * 1'000'000);
+  EXPECT_LT(lost["age_us"], kHangTimeoutSeconds * 1'000'000);
   std::string by = lost["by"];
   kill(by[1] - '1');
-  lost = heard("r2", false);
+  lost = summary_of("r2", false);
   ASSERT_TRUE(lost.is_object());
   EXPECT_EQ(lost["said"]["trail"], own["trail"]);
   EXPECT_NE(lost["by"], by);
-  // Another machine under its name does not wipe out what the first had said.
+  // A new machine under the same name does not overwrite the summary of the first.
   start(by[1] - '1');
   start(1);
   EXPECT_TRUE(eventually([&] {
-    Json former = heard("r2", true), now = heard("r2", false);
+    Json former = summary_of("r2", true), now = summary_of("r2", false);
     return former.is_object() && former["said"]["trail"] == own["trail"] && now.is_object() &&
            now["age_us"] < 10'000'000;
   }));
--- a/tests/daemon/ledger/storage_test.cpp
+++ b/tests/daemon/ledger/storage_test.cpp
@@ -1,5 +1,5 @@
-// The ledger's files on a real disk: all or nothing, found again after a kill, and no bit of them
-// trusted that is not as it was written.
+// The ledger's files on a real disk: commits are atomic and survive a kill, and flipped bits are
+// detected.
 #include <gtest/gtest.h>
 
 #include <filesystem>
@@ -34,7 +34,7 @@
   std::string folder_;
 };
 
-TEST_F(Files, WhatWasCommittedIsThereForTheNextProcess) {
+TEST_F(Files, CommittedDataIsReadByTheNextProcess) {
   {
     SqliteStorage storage(folder_);
     read(storage);
@@ -58,10 +58,10 @@
   ASSERT_TRUE(image.snapshot);
   EXPECT_EQ(image.snapshot->bytes.size(), 9u);
   ASSERT_TRUE(storage.commit({Op::with_number(Op::Kind::kTerm, 6)}));
-  EXPECT_EQ(read(storage).vote, 0u) << "a vote is of its term";
+  EXPECT_EQ(read(storage).vote, 0u) << "a vote belongs to its term";
 }
 
-TEST_F(Files, OneOfSeveralOpsThatFailsLeavesNoneOfThem) {
+TEST_F(Files, FailedOperationRollsBackTheWholeCommit) {
   SqliteStorage storage(folder_);
   read(storage);
   ASSERT_TRUE(storage.commit({append(1, 1, "one")}));
@@ -71,10 +71,10 @@
   EXPECT_EQ(image.log.size(), 1u);
   EXPECT_FALSE(storage.commit({append(3, 1, "gap")}) &&
                storage.load(image, folder_) == LoadResult::kOk)
-      << "a log with a gap is not given";
+      << "a log with a gap is not loaded";
 }
 
-TEST_F(Files, EachTurnedBitIsFoundOrChangesNothing) {
+TEST_F(Files, FlippedBitIsDetectedOrHarmless) {
   {
     SqliteStorage storage(folder_);
     read(storage);
@@ -106,10 +106,10 @@
     ASSERT_EQ(image.log[1].bytes, std::string(3000, 'b')) << at;
   }
   EXPECT_GT(found, 60u);
-  EXPECT_GT(harmless, 60u) << "of pages that hold nothing";
+  EXPECT_GT(harmless, 60u) << "in unused pages";
 }
 
-TEST_F(Files, ACopyThatIsPutBackHasAnotherFingerprint) {
+TEST_F(Files, RestoredCopyHasAnotherFingerprint) {
   std::string before;
   {
     SqliteStorage storage(folder_);
@@ -129,7 +129,7 @@
   EXPECT_TRUE(fs::exists(folder_ + ".aside/ledger.db"));
 }
 
-TEST(RaftMembers, AreReadAsTheLibraryWritesThemAndNothingElseIs) {
+TEST(RaftMembers, DecodeTheLibrarysEncodingAndRejectTruncation) {
   std::vector<RaftMember> members{{7, "r1#7", RAFT_VOTER}, {9, "r2#9", RAFT_SPARE}};
   std::string bytes = write_members(members);
   auto back = read_members(bytes);
@@ -137,12 +137,12 @@
   EXPECT_EQ(back[1].identity, 9u);
   EXPECT_EQ(back[1].address, "r2#9");
   EXPECT_EQ(back[1].role, RAFT_SPARE);
-  // The library fills the last word up.
+  // The library pads to a full word.
   for (std::size_t size = 0; size + 8 < bytes.size(); ++size)
     EXPECT_TRUE(read_members(bytes.substr(0, size)).empty()) << size;
 }
 
-TEST_F(Files, WhatCannotBeOpenedNowIsNotCalledSpoilt) {
+TEST_F(Files, OpenErrorIsNotReportedAsCorruption) {
   fs::create_directories(folder_ + "/ledger.db");
   Image image;
   std::string error;
