--- a/src/daemon/ledger/node.cpp
+++ b/src/daemon/ledger/node.cpp
@@ -793,7 +793,7 @@
   if (!candidate) return {{"again", "'" + to + "' has not offered recently to become a voter"}};
   if (from == settings_.name) {
     voter_->transfer_leadership();
-    return {{"again", "'" + from + "' is the leader and is handing over leadership"}};
+    return {{"again", "it is the leader and hands over leadership first"}};
   }
   move_ = core::ledger::Move{from, to};
   move_deadline_ = env_.now() + kMoveTimeout;
--- a/tests/core/ledger/reconfiguration_test.cpp
+++ b/tests/core/ledger/reconfiguration_test.cpp
@@ -43,7 +43,8 @@
 TEST(LedgerReconfiguration, UnreachableVoterIsReplacedOnceAnotherIsAvailable) {
   std::vector<Member> members{voter(1, "r1", "bole"), voter(2, "r2", "kality"),
                               voter(3, "r3", "piassa", true)};
-  EXPECT_FALSE(next_change(1, 3, members, {})) << "without a replacement it stays";
+  EXPECT_FALSE(next_change(1, 3, members, {}))
+      << "without another it stays: two of three are better";
   std::vector<Candidate> spare{{4, "r4", "kality"}};
   EXPECT_EQ(next_change(1, 3, members, spare), (MembershipChange{Kind::kAdd, 4, "r4"}));
   members.push_back(voter(4, "r4", "kality"));
