--- a/src/daemon/ledger/rescue.cpp
+++ b/src/daemon/ledger/rescue.cpp
@@ -11,7 +11,7 @@
 
 using core::ledger::State;
 
-/// The state that the whole of the image's log makes, and where it ends.
+/// Replays the whole log of an image into `state`; `end` is the position that it reaches.
 bool replay(const Image& image, State& state, LogPosition& end) {
   std::uint64_t from = 0;
   if (image.snapshot) {
@@ -35,15 +35,15 @@
                                   std::string& error) {
   State state;
   LogPosition end;
-  if (!image.meta.keeper || image.meta.group == 0) {
-    error = "no keeper's";
+  if (!image.meta.voter || image.meta.group == 0) {
+    error = "these are not the files of a voter";
     return {};
   }
   if (!replay(image, state, end)) {
     error = "its snapshot can't be read";
     return {};
   }
-  // A router may have been shown more than its log has: what it follows is newer then.
+  // The view may be newer than the voter's own log, if it was fed by others.
   State shown;
   bool newer =
       !image.view.empty() && shown.restore(image.view) && state.position().before(shown.position());
@@ -57,15 +57,15 @@
   Snapshot snapshot{end.last_index + 1, image.term + 1, end.last_index + 1,
                     write_members({{identity, raft_address(name, identity), RAFT_VOTER}}),
                     state.snapshot()};
-  rescue.ops = {Op::count(Op::Kind::kTruncate, 0), Op::put(snapshot),
-                Op::count(Op::Kind::kTerm, image.term + 1), Op::of(meta),
+  rescue.ops = {Op::with_number(Op::Kind::kTruncate, 0), Op::put(snapshot),
+                Op::with_number(Op::Kind::kTerm, image.term + 1), Op::of(meta),
                 Op::view(state.snapshot())};
   rescue.report = {
       {"epoch", meta.epoch},
       {"keeps", {{"values", state.values().size()}, {"position", state.position().at}}},
-      {"from", newer ? "the state that it last showed" : "its own log"},
-      {"may_be_lost", "every promise made after position " + std::to_string(state.position().at) +
-                          " by keepers that this disk had not heard of yet"}};
+      {"from", newer ? "its last view" : "its own log"},
+      {"may_be_lost", "calls committed after position " + std::to_string(state.position().at) +
+                          " that had not reached this disk"}};
   return rescue;
 }
 
@@ -83,12 +83,12 @@
       {"group", std::to_string(image.meta.group)},
       {"epoch", image.meta.epoch},
       {"starts", image.meta.boot},
-      {"keeper", image.meta.keeper},
+      {"keeper", image.meta.voter},
       {"term", image.term},
       {"log",
        {{"entries", image.log.size()}, {"last", end.last_index}, {"last_term", end.last_term}}},
       {"members", members}};
-  if (image.meta.keeper && whole)
+  if (image.meta.voter && whole)
     out["state"] = {{"position", state.position().at}, {"values", state.values().size()}};
   if (!image.view.empty() && shown.restore(image.view))
     out["shown"] = {{"position", shown.position().at},
--- a/tests/core/audit/trail_test.cpp
+++ b/tests/core/audit/trail_test.cpp
@@ -1,5 +1,5 @@
-// A trail that was cut, torn, spoilt or edited is found, and what is left of it is what was
-// written.
+// Truncated, torn, corrupted or edited trails are detected, and the blocks that are still returned
+// are the ones that were written.
 #include "core/audit/trail.hpp"
 
 #include <gtest/gtest.h>
@@ -20,9 +20,9 @@
   Written w;
   w.last = before;
   for (int k = 0; k <= blocks; ++k) {
-    std::string body =
-        k == 0 ? head_of(router, before, "start") : R"({"k":"did","n":)" + std::to_string(k) + "}";
-    w.lines.push_back(line_of(w.last, body));
+    std::string body = k == 0 ? header_body(router, before, "start")
+                              : R"({"k":"did","n":)" + std::to_string(k) + "}";
+    w.lines.push_back(append_block(w.last, body));
     w.bodies[w.last.number] = Json::parse(body).dump();
     w.text += w.lines.back();
   }
@@ -30,12 +30,12 @@
 }
 
 Trail read(const std::vector<std::string>& files) {
-  Reader reader;
-  for (std::size_t k = 0; k < files.size(); ++k) reader.file(std::to_string(k), files[k]);
-  return reader.take();
+  TrailReader reader;
+  for (std::size_t k = 0; k < files.size(); ++k) reader.add_file(std::to_string(k), files[k]);
+  return reader.finish();
 }
 
-/// Every block that is given out is one that was written, in order and once.
+/// Expects that each returned block was written, and that they are in order and unique.
 void expect_true(const Trail& trail, const Written& w, const std::string& what) {
   std::uint64_t last = 0;
   for (const Block& b : trail.blocks) {
@@ -47,7 +47,7 @@
   }
 }
 
-TEST(Trail, GoesOnOverFiles) {
+TEST(Trail, ContinuesAcrossFiles) {
   Written first = written(5), second = written(3, first.last);
   Trail trail = read({first.text, second.text});
   EXPECT_EQ(trail.router, "r1");
@@ -56,7 +56,7 @@
   EXPECT_EQ(trail.last.number, 10u);
 }
 
-TEST(Trail, AnyChangedByteIsFound) {
+TEST(Trail, AnyChangedByteIsDetected) {
   Written w = written(4);
   for (std::size_t at = 0; at < w.text.size(); ++at)
     for (char flip : {'\x01', '\x20'}) {
@@ -69,7 +69,7 @@
     }
 }
 
-TEST(Trail, LinesTakenOutDoubledOrSwappedAreFound) {
+TEST(Trail, RemovedDuplicatedOrSwappedLinesAreDetected) {
   Written w = written(6);
   for (std::size_t k = 1; k + 1 < w.lines.size(); ++k) {
     auto out = w.lines, twice = w.lines, swapped = w.lines;
@@ -86,7 +86,7 @@
   }
 }
 
-TEST(Trail, ATornEndIsToldAndWhatFollowsIsRead) {
+TEST(Trail, TornEndIsReportedAndTheNextFileIsRead) {
   Written w = written(4);
   for (std::size_t size = 0; size < w.text.size(); ++size) {
     std::string text = w.text.substr(0, size);
@@ -94,7 +94,7 @@
     Trail trail = read({text});
     EXPECT_EQ(trail.faults.empty(), whole) << size;
     expect_true(trail, w, std::to_string(size));
-    auto end = end_of(text);
+    auto end = last_position_in(text);
     if (!end) continue;
     Written next = written(2, *end);
     Trail both = read({text, next.text});
@@ -103,14 +103,14 @@
   }
 }
 
-TEST(Trail, AFileThatIsNotThereOrAnothersIsFound) {
+TEST(Trail, MissingOrForeignFileIsDetected) {
   Written a = written(3), b = written(3, a.last), c = written(3, b.last);
   Trail gone = read({a.text, c.text});
   ASSERT_EQ(gone.faults.size(), 1u);
   EXPECT_EQ(gone.faults[0].kind, Fault::Kind::kMissing);
   EXPECT_EQ(gone.faults[0].from, 5u);
   EXPECT_EQ(gone.faults[0].to, 8u);
-  // The oldest files go by size and age: that is no fault.
+  // Deleting the oldest files by size and age is not a fault.
   EXPECT_TRUE(read({b.text, c.text}).faults.empty());
   Trail others = read({a.text, written(3, a.last, "r2").text});
   ASSERT_EQ(others.faults.size(), 1u);
@@ -121,41 +121,41 @@
   EXPECT_EQ(rewritten.faults[0].kind, Fault::Kind::kForeign);
 }
 
-/// What others hold finds what the trail's own sums can't: an end that is gone, and a trail that
-/// was written anew with sums of its own.
-TEST(Trail, IsHeldAgainstWhatOthersHold) {
+/// Positions held by other routers detect what the trail's own sums can't: a truncated end, and a
+/// trail that was rewritten with recomputed sums.
+TEST(Trail, TruncationAndRewriteAreDetectedByPositionsHeldElsewhere) {
   Written w = written(6);
-  std::vector<TrailPosition> marks;
-  TrailPosition mark;
+  std::vector<TrailPosition> positions;
+  TrailPosition position;
   for (const auto& [number, body] : w.bodies) {
-    line_of(mark, body);
-    marks.push_back(mark);
+    append_block(position, body);
+    positions.push_back(position);
   }
   Trail whole = read({w.text}),
         cut = read({w.text.substr(0, w.text.size() - w.lines.back().size())});
   EXPECT_TRUE(cut.faults.empty());
-  for (const TrailPosition& m : marks) {
-    ASSERT_EQ(parse_position(text_of(m))->sum, m.sum);
+  for (const TrailPosition& m : positions) {
+    ASSERT_EQ(parse_position(format_position(m))->sum, m.sum);
     EXPECT_FALSE(compare_with_position(whole, m)) << m.number;
   }
-  ASSERT_TRUE(compare_with_position(cut, marks.back()));
-  EXPECT_EQ(compare_with_position(cut, marks.back())->kind, Fault::Kind::kCut);
+  ASSERT_TRUE(compare_with_position(cut, positions.back()));
+  EXPECT_EQ(compare_with_position(cut, positions.back())->kind, Fault::Kind::kTruncated);
   Written anew;
   for (const auto& [number, body] : w.bodies)
-    anew.text += line_of(anew.last, number == 4 ? R"({"k":"did","n":99})" : body);
+    anew.text += append_block(anew.last, number == 4 ? R"({"k":"did","n":99})" : body);
   Trail forged = read({anew.text});
   EXPECT_TRUE(forged.faults.empty());
-  EXPECT_FALSE(compare_with_position(forged, marks[2]));
-  ASSERT_TRUE(compare_with_position(forged, marks[5]));
-  EXPECT_EQ(compare_with_position(forged, marks[5])->kind, Fault::Kind::kRewritten);
-  // The oldest files go; what is not there is not in doubt.
-  EXPECT_FALSE(compare_with_position(read({written(2, w.last).text}), marks[2]));
+  EXPECT_FALSE(compare_with_position(forged, positions[2]));
+  ASSERT_TRUE(compare_with_position(forged, positions[5]));
+  EXPECT_EQ(compare_with_position(forged, positions[5])->kind, Fault::Kind::kRewritten);
+  // Blocks that were deleted with the oldest files are not a fault.
+  EXPECT_FALSE(compare_with_position(read({written(2, w.last).text}), positions[2]));
   for (const char* none : {"", ":", "1", "0:0000000000000000", "1:0", "x:0000000000000001",
                            "1:000000000000000G", "1:0000000000000001 "})
     EXPECT_FALSE(parse_position(none)) << none;
 }
 
-TEST(Trail, AnyBytesAreRead) {
+TEST(Trail, AnyBytesAreReadAsFaults) {
   Written w = written(2);
   for (const char* text : {"", "\n", "\n\n\n", "0 1 {}\n", "0000000000000000 1 {}\n",
                            "ffffffffffffffff 99999999999999999999 {}\n", "a b c d\n{}\n"}) {
--- a/tests/daemon/ledger/storage_test.cpp
+++ b/tests/daemon/ledger/storage_test.cpp
@@ -1,5 +1,5 @@
-// The ledger's files on a real disk: all or nothing, found again after a kill, and no bit of them
-// trusted that is not as it was written.
+// The ledger's files on a real disk: commits are atomic and survive a kill, and flipped bits are
+// detected.
 #include <gtest/gtest.h>
 
 #include <filesystem>
@@ -34,18 +34,18 @@
   std::string folder_;
 };
 
-TEST_F(Files, WhatWasCommittedIsThereForTheNextProcess) {
+TEST_F(Files, CommittedDataIsReadByTheNextProcess) {
   {
     SqliteStorage storage(folder_);
     read(storage);
     Op meta = Op::of({11, 12, 13, 14, true, storage.fingerprint()});
     Op snapshot =
         Op::put({2, 1, 1, write_members({{11, "r1#11", RAFT_VOTER}}), std::string(9, '\0')});
-    ASSERT_TRUE(storage.commit({meta, Op::count(Op::Kind::kTerm, 5), Op::count(Op::Kind::kVote, 11),
-                                append(1, 1, "one"), append(2, 1, ""), append(3, 4, "three"),
-                                append(4, 4, "four")}));
-    ASSERT_TRUE(storage.commit({Op::count(Op::Kind::kTruncate, 4), append(4, 5, "other"), snapshot,
-                                Op::count(Op::Kind::kTrim, 1)}));
+    ASSERT_TRUE(storage.commit({meta, Op::with_number(Op::Kind::kTerm, 5),
+                                Op::with_number(Op::Kind::kVote, 11), append(1, 1, "one"),
+                                append(2, 1, ""), append(3, 4, "three"), append(4, 4, "four")}));
+    ASSERT_TRUE(storage.commit({Op::with_number(Op::Kind::kTruncate, 4), append(4, 5, "other"),
+                                snapshot, Op::with_number(Op::Kind::kTrim, 1)}));
   }
   SqliteStorage storage(folder_);
   Image image = read(storage);
@@ -57,29 +57,30 @@
   EXPECT_EQ(image.log[0].index, 2u);
   ASSERT_TRUE(image.snapshot);
   EXPECT_EQ(image.snapshot->bytes.size(), 9u);
-  ASSERT_TRUE(storage.commit({Op::count(Op::Kind::kTerm, 6)}));
-  EXPECT_EQ(read(storage).vote, 0u) << "a vote is of its term";
+  ASSERT_TRUE(storage.commit({Op::with_number(Op::Kind::kTerm, 6)}));
+  EXPECT_EQ(read(storage).vote, 0u) << "a vote belongs to its term";
 }
 
-TEST_F(Files, OneOfSeveralOpsThatFailsLeavesNoneOfThem) {
+TEST_F(Files, FailedOperationRollsBackTheWholeCommit) {
   SqliteStorage storage(folder_);
   read(storage);
   ASSERT_TRUE(storage.commit({append(1, 1, "one")}));
-  EXPECT_FALSE(storage.commit({Op::count(Op::Kind::kTerm, 9), append(1, 1, "again")}));
+  EXPECT_FALSE(storage.commit({Op::with_number(Op::Kind::kTerm, 9), append(1, 1, "again")}));
   Image image = read(storage);
   EXPECT_EQ(image.term, 0u);
   EXPECT_EQ(image.log.size(), 1u);
   EXPECT_FALSE(storage.commit({append(3, 1, "gap")}) &&
                storage.load(image, folder_) == LoadResult::kOk)
-      << "a log with a gap is not given";
+      << "a log with a gap is not loaded";
 }
 
-TEST_F(Files, EachTurnedBitIsFoundOrChangesNothing) {
+TEST_F(Files, FlippedBitIsDetectedOrHarmless) {
   {
     SqliteStorage storage(folder_);
     read(storage);
-    ASSERT_TRUE(storage.commit({Op::count(Op::Kind::kTerm, 5), append(1, 1, std::string(3000, 'a')),
-                                append(2, 1, std::string(3000, 'b'))}));
+    ASSERT_TRUE(
+        storage.commit({Op::with_number(Op::Kind::kTerm, 5), append(1, 1, std::string(3000, 'a')),
+                        append(2, 1, std::string(3000, 'b'))}));
   }
   std::string path = folder_ + "/ledger.db";
   std::string good;
@@ -105,10 +106,10 @@
     ASSERT_EQ(image.log[1].bytes, std::string(3000, 'b')) << at;
   }
   EXPECT_GT(found, 60u);
-  EXPECT_GT(harmless, 60u) << "of pages that hold nothing";
+  EXPECT_GT(harmless, 60u) << "in unused pages";
 }
 
-TEST_F(Files, ACopyThatIsPutBackHasAnotherFingerprint) {
+TEST_F(Files, RestoredCopyHasAnotherFingerprint) {
   std::string before;
   {
     SqliteStorage storage(folder_);
@@ -122,13 +123,13 @@
   SqliteStorage storage(folder_);
   read(storage);
   EXPECT_NE(storage.fingerprint(), before);
-  ASSERT_TRUE(storage.commit({Op::count(Op::Kind::kTerm, 5)}));
+  ASSERT_TRUE(storage.commit({Op::with_number(Op::Kind::kTerm, 5)}));
   ASSERT_TRUE(storage.quarantine());
   EXPECT_EQ(read(storage).term, 0u);
   EXPECT_TRUE(fs::exists(folder_ + ".aside/ledger.db"));
 }
 
-TEST(RaftMembers, AreReadAsTheLibraryWritesThemAndNothingElseIs) {
+TEST(RaftMembers, DecodeTheLibrarysEncodingAndRejectTruncation) {
   std::vector<RaftMember> members{{7, "r1#7", RAFT_VOTER}, {9, "r2#9", RAFT_SPARE}};
   std::string bytes = write_members(members);
   auto back = read_members(bytes);
@@ -136,12 +137,12 @@
   EXPECT_EQ(back[1].identity, 9u);
   EXPECT_EQ(back[1].address, "r2#9");
   EXPECT_EQ(back[1].role, RAFT_SPARE);
-  // The library fills the last word up.
+  // The library pads to a full word.
   for (std::size_t size = 0; size + 8 < bytes.size(); ++size)
     EXPECT_TRUE(read_members(bytes.substr(0, size)).empty()) << size;
 }
 
-TEST_F(Files, WhatCannotBeOpenedNowIsNotCalledSpoilt) {
+TEST_F(Files, OpenErrorIsNotReportedAsCorruption) {
   fs::create_directories(folder_ + "/ledger.db");
   Image image;
   std::string error;
