--- a/src/kit/losses/show.cpp
+++ b/src/kit/losses/show.cpp
@@ -15,12 +15,12 @@
 
 using Json = nlohmann::ordered_json;
 
-constexpr double kOff =
-    1e-6;  // rounding error allowed in the sum of the causes, as a fraction of the worth asked
-constexpr int kBar = 40;  // length of the longest bar in characters
+// Rounding error allowed in the sum of the causes, as a fraction of the worth asked.
+constexpr double kSumTolerance = 1e-6;
+constexpr int kMaxBarLength = 40;  // length of the longest bar in characters
 
-std::string line_of(const char* format, const std::string& cause, double a, const std::string& b,
-                    const std::string& rest) {
+std::string format_row(const char* format, const std::string& cause, double a, const std::string& b,
+                       const std::string& rest) {
   char text[256];
   std::snprintf(text, sizeof text, format, cause.c_str(), a, b.c_str(), rest.c_str());
   return text;
@@ -59,7 +59,7 @@
                         row.at("requests").get<std::uint64_t>()});
       sum += t.rows.back().worth;
     }
-    if (!(std::abs(sum - t.lost()) <= kOff * std::max(t.asked, 1.0)))
+    if (!(std::abs(sum - t.lost()) <= kSumTolerance * std::max(t.asked, 1.0)))
       throw std::runtime_error("the losses by cause do not add up to the total loss");
   } catch (const Json::exception&) {
     throw std::runtime_error("its losses are not in the form that rehearse --json writes");
@@ -70,21 +70,21 @@
 std::string loss_text(const LossTable& t) {
   std::string text = title_of(t) + "\n";
   text += "  worth asked " + std::to_string(std::llround(t.asked)) + ", earned " +
-          percent(t.part(t.earned)) + ", lost " + percent(t.part(t.lost())) + "\n";
+          percent(t.fraction(t.earned)) + ", lost " + percent(t.fraction(t.lost())) + "\n";
   double most = 0;
   for (const auto& row : t.rows) most = std::max(most, row.worth);
   for (const auto& row : t.rows) {
     if (row.worth <= 0) continue;
-    auto bar = static_cast<std::size_t>(std::ceil(kBar * row.worth / most));
-    text += line_of("  %-28s %6.2f%%  %8s  %s\n", row.cause, 100 * t.part(row.worth),
-                    std::to_string(row.requests), std::string(bar, '#'));
+    auto bar = static_cast<std::size_t>(std::ceil(kMaxBarLength * row.worth / most));
+    text += format_row("  %-28s %6.2f%%  %8s  %s\n", row.cause, 100 * t.fraction(row.worth),
+                       std::to_string(row.requests), std::string(bar, '#'));
   }
   return text;
 }
 
 std::string loss_difference_text(const LossTable& before, const LossTable& after) {
   std::string text = "change in percentage points of the worth asked, second minus first: lost " +
-                     points(after.part(after.lost()) - before.part(before.lost())) + "\n";
+                     points(after.fraction(after.lost()) - before.fraction(before.lost())) + "\n";
   struct Change {
     std::string cause;
     double by;
@@ -92,7 +92,7 @@
   std::vector<Change> changes;
   auto worth_in = [](const LossTable& t, const std::string& cause) {
     for (const auto& row : t.rows)
-      if (row.cause == cause) return t.part(row.worth);
+      if (row.cause == cause) return t.fraction(row.worth);
     return 0.0;
   };
   std::set<std::string> seen;
@@ -114,11 +114,11 @@
 
 std::string loss_json(const LossTable& t) {
   Json json{{"day", t.day},           {"seed", t.seed},     {"verdict", t.verdict},
-            {"asked", t.asked},       {"earned", t.earned}, {"lost_part", t.part(t.lost())},
+            {"asked", t.asked},       {"earned", t.earned}, {"lost_part", t.fraction(t.lost())},
             {"causes", Json::array()}};
   for (const auto& row : t.rows)
     json["causes"].push_back(
-        {{"cause", row.cause}, {"part", t.part(row.worth)}, {"requests", row.requests}});
+        {{"cause", row.cause}, {"part", t.fraction(row.worth)}, {"requests", row.requests}});
   return json.dump(1);
 }
 
@@ -133,14 +133,14 @@
   double at = 1;
   for (const auto& row : t.rows) {
     if (row.worth <= 0) continue;
-    double part = t.part(row.worth);
+    double part = t.fraction(row.worth);
     bars.push_back({row.cause, "-" + percent(part), at - part, at, "#c4574e"});
     at -= part;
   }
-  bars.push_back({"earned", percent(t.part(t.earned)), 0, t.part(t.earned), "#3f7f5f"});
+  bars.push_back({"earned", percent(t.fraction(t.earned)), 0, t.fraction(t.earned), "#3f7f5f"});
   int height = kTop * 2 + kStep * static_cast<int>(bars.size());
   // The axis begins just below the worth earned, so that small losses are visible.
-  double low = std::max(0.0, std::floor((t.part(t.earned) - 0.05) * 10) / 10);
+  double low = std::max(0.0, std::floor((t.fraction(t.earned) - 0.05) * 10) / 10);
   auto x = [&](double part) {
     return kLeft + (kWidth - kLeft - kRight) * (std::max(part, low) - low) / (1 - low);
   };
--- a/src/kit/losses/show.hpp
+++ b/src/kit/losses/show.hpp
@@ -22,7 +22,7 @@
 
   double lost() const { return asked - earned; }
   /// A worth as a fraction of the worth asked.
-  double part(double worth) const { return asked > 0 ? worth / asked : 0; }
+  double fraction(double worth) const { return asked > 0 ? worth / asked : 0; }
 };
 
 /// Parses a result of `rehearse --json`. Throws std::runtime_error if it is not valid, also if the
--- a/src/kit/rehearse/command.cpp
+++ b/src/kit/rehearse/command.cpp
@@ -25,7 +25,7 @@
 
 constexpr int kWrongInput = 2;
 
-int wrong(const std::string& what) {
+int input_error(const std::string& what) {
   std::fprintf(stderr, "violetusher-kit: %s\n", what.c_str());
   return kWrongInput;
 }
@@ -38,19 +38,20 @@
 
 /// The timelines of the requests with findings, from the flight recordings of the routers. A
 /// restarted router also has a recording of its previous process.
-std::map<std::string, Result::Life> lives_of(const std::string& folder, const Day& day,
-                                             const Verdict& verdict, const kit::History& history) {
-  std::set<std::string> wanted;
-  for (const Finding& f : verdict.findings) wanted.insert(f.request);
-  std::map<std::string, std::vector<kit::FarSide>> far;
+std::map<std::string, Result::RequestTimeline> timelines_of(const std::string& folder,
+                                                            const Day& day, const Verdict& verdict,
+                                                            const kit::History& history) {
+  std::set<std::string> request_ids;
+  for (const Finding& f : verdict.findings) request_ids.insert(f.request);
+  std::map<std::string, std::vector<kit::FarSide>> attempts;
   for (const auto& a : history.attempts) {
     std::string id = standin::request_id(a.request, a.attempt_try);
-    if (a.request != kit::kNoRequest && wanted.count(id))
-      far[id].push_back({history.servers[static_cast<std::size_t>(a.server)],
-                         a.left ? "left" : kit::name_of(a.answered), a.router + 1, a.first_byte,
-                         a.begun, a.made, a.ended});
+    if (a.request != kit::kNoRequest && request_ids.count(id))
+      attempts[id].push_back({history.servers[static_cast<std::size_t>(a.server)],
+                              a.left ? "left" : kit::name_of(a.answered), a.router + 1,
+                              a.first_byte, a.begun, a.made, a.ended});
   }
-  std::map<std::string, Result::Life> lives;
+  std::map<std::string, Result::RequestTimeline> timelines;
   for (std::size_t r = 1; r <= day.routers.halls.size(); ++r)
     for (const char* end : {".flight.before", ".flight"}) {
       std::string path = folder + "/r" + std::to_string(r) + end, error;
@@ -61,14 +62,14 @@
         continue;
       }
       for (const auto& line : flight.lines)
-        if (wanted.count(line.id)) {
-          Result::Life& life = lives[line.id];
-          life.text +=
-              kit::show_request(flight.recording.name, line, &far[line.id]) + kit::why_text(line);
-          life.svg += kit::waterfall(line);
+        if (request_ids.count(line.id)) {
+          Result::RequestTimeline& timeline = timelines[line.id];
+          timeline.text += kit::show_request(flight.recording.name, line, &attempts[line.id]) +
+                           kit::why_text(line);
+          timeline.svg += kit::waterfall(line);
         }
     }
-  return lives;
+  return timelines;
 }
 
 int rehearse(const RehearseOptions& o) {
@@ -80,8 +81,8 @@
     return kWrongInput;
   }
   if (day.ledger.on && !o.plan)
-    return wrong(o.day +
-                 ": the day has a replicated ledger; play it with violetusher-kit chaos play");
+    return input_error(
+        o.day + ": the day has a replicated ledger; play it with violetusher-kit chaos play");
   Plan plan = make_plan(day, o.seed >= 0 ? static_cast<std::uint64_t>(o.seed) : day.seed);
   if (o.plan) {
     for (std::size_t k = 0; k < plan.requests.size(); ++k)
@@ -89,11 +90,11 @@
     return 0;
   }
   if (::access(o.router.c_str(), X_OK) != 0 || fs::is_directory(o.router))
-    return wrong("--router: '" + o.router + "' is not an executable program");
+    return input_error("--router: '" + o.router + "' is not an executable program");
   for (const std::string& path : {o.json, o.report, o.log}) {
     fs::path folder = fs::path(path).parent_path();
     if (!path.empty() && !folder.empty() && !fs::is_directory(folder))
-      return wrong("'" + path + "': no such folder");
+      return input_error("'" + path + "': no such folder");
   }
   RigOptions options;
   options.router = fs::absolute(o.router);
@@ -104,7 +105,7 @@
     options.flight = fs::absolute(o.flight).lexically_normal();
     // The path is written into an operator file as a quoted string.
     if (error || options.flight.find_first_of("\"\\\n") != std::string::npos)
-      return wrong(o.flight + ": cannot be used as a folder for recordings");
+      return input_error(o.flight + ": cannot be used as a folder for recordings");
     // Recordings of an earlier rehearsal must not be mistaken for those of this one.
     for (const auto& entry : fs::directory_iterator(options.flight, error))
       if (entry.path().filename().string().find(".flight") != std::string::npos)
@@ -114,15 +115,15 @@
   Verdict verdict = judge(day, plan, played.history);
   Result result{day, plan, played, verdict, {}};
   if (!o.flight.empty()) {
-    result.lives = lives_of(options.flight, day, verdict, played.history);
+    result.timelines = timelines_of(options.flight, day, verdict, played.history);
     if (!kit::write_whole(options.flight + "/history.jsonl", history_lines(played.history)))
-      return wrong(options.flight + ": cannot be written");
+      return input_error(options.flight + ": cannot be written");
   }
   std::printf("%s", text_report(result).c_str());
   bool written = (o.json.empty() || kit::write_whole(o.json, json_report(result))) &&
                  (o.report.empty() || kit::write_whole(o.report, html_report(result))) &&
                  (o.log.empty() || kit::write_whole(o.log, request_log(result)));
-  if (!written) return wrong("a result could not be written");
+  if (!written) return input_error("a result could not be written");
   if (!o.report.empty()) std::printf("report: %s\n", fs::absolute(o.report).c_str());
   return static_cast<int>(result.outcome());
 }
@@ -155,13 +156,13 @@
   fleet.start(origin);
   if (for_s > 0) loop.at(origin + static_cast<Micros>(for_s * 1e6), [&] { loop.stop(); });
   // Nothing is judged here, so the unused parts of the history are dropped to bound its size.
-  std::function<void()> forget = [&] {
+  std::function<void()> drop_unused = [&] {
     history.server_samples.clear();
     history.told.clear();
     history.effects.clear();
-    loop.at(loop.now() + 1'000'000, forget);
+    loop.at(loop.now() + 1'000'000, drop_unused);
   };
-  forget();
+  drop_unused();
   loop.run();
   std::fprintf(stderr, "%zu attempts received\n", history.attempts.size());
   return 0;
--- a/src/kit/rehearse/day.cpp
+++ b/src/kit/rehearse/day.cpp
@@ -17,10 +17,10 @@
 
 using standin::FaultKind;
 
-constexpr std::int64_t kMostServers = 128, kMostRouters = 32;
-constexpr Micros kLongestDay = 3'600'000'000;
-constexpr double kMostRequests = 5e6;
-constexpr std::size_t kMostFile = 1u << 20;
+constexpr std::int64_t kMaxServers = 128, kMaxRouters = 32;
+constexpr Micros kMaxDayLength = 3'600'000'000;
+constexpr double kMaxRequests = 5e6;
+constexpr std::size_t kMaxFileBytes = 1u << 20;
 
 int index_of(const std::vector<std::string>& names, const std::string& name) {
   auto it = std::find(names.begin(), names.end(), name);
@@ -36,7 +36,7 @@
 int hall_of(TableReader& t, const char* key, const Day& day) {
   std::string name = t.text(key);
   int hall = index_of(day.fleet.halls, name);
-  if (hall < 0) t.bad(key, "no hall '" + name + "' (halls: " + joined(day.fleet.halls) + ")");
+  if (hall < 0) t.fail(key, "no hall '" + name + "' (halls: " + joined(day.fleet.halls) + ")");
   return hall;
 }
 
@@ -46,10 +46,10 @@
   for (std::size_t k = 0; k < day.fleet.halls.size(); ++k)
     for (std::size_t j = 0; j < k; ++j)
       if (day.fleet.halls[k] == day.fleet.halls[j])
-        t.bad("names", "'" + day.fleet.halls[k] + "' is listed twice");
+        t.fail("names", "'" + day.fleet.halls[k] + "' is listed twice");
   day.fleet.same = t.duration("same", day.fleet.same);
   day.fleet.cross = t.duration("cross", day.fleet.cross);
-  t.finish();
+  t.reject_unknown_keys();
 }
 
 int kind_of(TableReader& t, const Day& day) {
@@ -57,7 +57,7 @@
   std::vector<std::string> names;
   for (const auto& kind : day.fleet.kinds) names.push_back(kind.name);
   int kind = index_of(names, name);
-  if (kind < 0) t.bad("kind", "no machine kind '" + name + "' (kinds: " + joined(names) + ")");
+  if (kind < 0) t.fail("kind", "no machine kind '" + name + "' (kinds: " + joined(names) + ")");
   return kind;
 }
 
@@ -72,8 +72,8 @@
     s.joins = joins;
     day.fleet.servers.push_back(s);
   }
-  if (static_cast<std::int64_t>(day.fleet.servers.size()) > kMostServers)
-    t.bad("count", "more than " + std::to_string(kMostServers) + " price caches");
+  if (static_cast<std::int64_t>(day.fleet.servers.size()) > kMaxServers)
+    t.fail("count", "more than " + std::to_string(kMaxServers) + " price caches");
 }
 
 void read_fleet(TableReader t, Day& day) {
@@ -89,7 +89,7 @@
     kind.memory = k.size("memory", kind.memory);
     kind.connections = static_cast<int>(k.integer("connections", kind.connections, 1, 10'000));
     kind.connect_work = k.duration("connect_work", kind.connect_work);
-    k.finish();
+    k.reject_unknown_keys();
     auto same = std::find_if(f.kinds.begin(), f.kinds.end(),
                              [&](auto& other) { return other.name == kind.name; });
     if (same == f.kinds.end())
@@ -98,22 +98,22 @@
       *same = kind;
   }
   auto groups = t.tables("servers");
-  if (groups.empty()) t.bad_here("no [[fleet.servers]]: a day needs at least one price cache");
+  if (groups.empty()) t.fail_table("no [[fleet.servers]]: a day needs at least one price cache");
   for (TableReader& g : groups) {
     int kind = kind_of(g, day);
     int hall = g.has("hall") ? hall_of(g, "hall", day) : -1;
-    std::int64_t count = g.integer("count", 1, 1, kMostServers);
+    std::int64_t count = g.integer("count", 1, 1, kMaxServers);
     Micros joins = g.duration("joins", 0);
-    if (joins >= day.length) g.bad("joins", "past the end of the day");
+    if (joins >= day.length) g.fail("joins", "past the end of the day");
     add_servers(day, kind, hall, count, joins, g);
-    g.finish();
+    g.reject_unknown_keys();
   }
   f.streams = static_cast<int>(t.integer("streams", f.streams, 1, 1000));
   f.idle_close = t.duration("idle_close", f.idle_close);
   f.handshake = t.duration("handshake", f.handshake);
   f.report_every = std::max<Micros>(t.duration("report_every", f.report_every), 10'000);
   f.report_lag = t.duration("report_lag", f.report_lag);
-  f.held = t.part("held", f.held);
+  f.held = t.fraction("held", f.held);
   f.cold_share = t.number("cold_share", f.cold_share, 0.01, 1);
   f.warm_up = t.duration("warm_up", f.warm_up);
   f.fall_multiple = t.number("fall_multiple", f.fall_multiple, 1, 1000);
@@ -124,8 +124,8 @@
   f.value_high =
       static_cast<Micros>(t.size("value_high", static_cast<std::uint64_t>(f.value_high)));
   if (f.value_low > f.value_high || f.value_high > 65'536)
-    t.bad(t.has("value_high") ? "value_high" : "value_low", "must be between value_low and 64KiB");
-  t.finish();
+    t.fail(t.has("value_high") ? "value_high" : "value_low", "must be between value_low and 64KiB");
+  t.reject_unknown_keys();
 }
 
 void read_origin(TableReader t, Day& day) {
@@ -133,7 +133,7 @@
   o.parallel = static_cast<int>(t.integer("parallel", o.parallel, 1, 10'000));
   o.time = t.duration("time", o.time);
   o.waiting = static_cast<int>(t.integer("waiting", o.waiting, 0, 100'000));
-  t.finish();
+  t.reject_unknown_keys();
 }
 
 void read_discovery(TableReader t, Day& day) {
@@ -144,7 +144,7 @@
   f.call_limit = t.duration("call_limit", f.call_limit);
   f.pushed = t.flag("pushed", f.pushed);
   f.ask_within = t.duration("ask_within", f.ask_within);
-  t.finish();
+  t.reject_unknown_keys();
 }
 
 /// The text of the operator file that `operator` names, relative to the day file. The routers get
@@ -159,9 +159,9 @@
   std::ifstream file(path, std::ios::binary);
   std::stringstream text;
   if (::stat(path.c_str(), &info) != 0 || !S_ISREG(info.st_mode) ||
-      static_cast<std::size_t>(info.st_size) > kMostFile || !(text << file.rdbuf()))
-    t.bad("operator",
-          "'" + name + "' is not a regular file of at most 1 MiB, relative to the day file");
+      static_cast<std::size_t>(info.st_size) > kMaxFileBytes || !(text << file.rdbuf()))
+    t.fail("operator",
+           "'" + name + "' is not a regular file of at most 1 MiB, relative to the day file");
   return text.str();
 }
 
@@ -171,23 +171,23 @@
     for (const std::string& name : t.texts("halls")) {
       int hall = index_of(day.fleet.halls, name);
       if (hall < 0)
-        t.bad("halls", "no hall '" + name + "' (halls: " + joined(day.fleet.halls) + ")");
+        t.fail("halls", "no hall '" + name + "' (halls: " + joined(day.fleet.halls) + ")");
       r.halls.push_back(hall);
     }
-    if (static_cast<std::int64_t>(r.halls.size()) > kMostRouters)
-      t.bad("halls", "more than " + std::to_string(kMostRouters) + " routers");
+    if (static_cast<std::int64_t>(r.halls.size()) > kMaxRouters)
+      t.fail("halls", "more than " + std::to_string(kMaxRouters) + " routers");
   } else {
-    std::int64_t count = t.integer("count", 2, 1, kMostRouters);
+    std::int64_t count = t.integer("count", 2, 1, kMaxRouters);
     for (std::int64_t k = 0; k < count; ++k)
       r.halls.push_back(static_cast<int>(k) % static_cast<int>(day.fleet.halls.size()));
   }
   r.memory = t.size("memory", r.memory);
-  if (r.memory < (16u << 20)) t.bad("memory", "must be at least 16MiB");
+  if (r.memory < (16u << 20)) t.fail("memory", "must be at least 16MiB");
   r.sockets = static_cast<int>(t.integer("sockets", r.sockets, 64, 100'000));
   r.max_attempts = static_cast<int>(t.integer("max_attempts", r.max_attempts, 1, 100));
   r.retry_after = t.flag("retry_after", r.retry_after);
   r.operator_text = operator_of(t, day);
-  t.finish();
+  t.reject_unknown_keys();
 }
 
 /// Reads an interval within the day: `at`, and `until` or `for`. Without an end it lasts until the
@@ -195,104 +195,104 @@
 void read_span(TableReader& t, const Day& day, Micros& from, Micros& until, bool must_end) {
   from = t.duration("at");
   if (from >= day.length)
-    t.bad("at", "past the end of the day (" + kit::duration_text(day.length) + ")");
-  if (t.has("until") && t.has("for")) t.bad("for", "'until' and 'for' exclude each other");
+    t.fail("at", "past the end of the day (" + kit::duration_text(day.length) + ")");
+  if (t.has("until") && t.has("for")) t.fail("for", "'until' and 'for' exclude each other");
   until = day.length;
   if (t.has("until"))
     until = t.duration("until");
   else if (t.has("for"))
     until = from + t.duration("for");
   else if (must_end)
-    t.bad_here("'until' or 'for' is required");
+    t.fail_table("'until' or 'for' is required");
   if (until > day.length)
-    t.bad(t.has("until") ? "until" : "for",
-          "past the end of the day (" + kit::duration_text(day.length) + ")");
-  if (until <= from) t.bad(t.has("until") ? "until" : "for", "ends before it begins");
+    t.fail(t.has("until") ? "until" : "for",
+           "past the end of the day (" + kit::duration_text(day.length) + ")");
+  if (until <= from) t.fail(t.has("until") ? "until" : "for", "ends before it begins");
 }
 
 void read_tills(TableReader t, Day& day) {
   Tills& tills = day.tills;
   tills.rate = t.rate("rate", tills.rate);
-  if (tills.rate * static_cast<double>(day.length) / 1e6 > kMostRequests)
-    t.bad("rate", "more than 5 million requests in the day");
+  if (tills.rate * static_cast<double>(day.length) / 1e6 > kMaxRequests)
+    t.fail("rate", "more than 5 million requests in the day");
   tills.keys = static_cast<std::size_t>(t.integer("keys", 20'000, 1, 5'000'000));
   tills.zipf = t.number("zipf", tills.zipf, 0, 3);
   tills.retries = static_cast<int>(t.integer("retries", tills.retries, 0, 5));
-  tills.try_share = t.number("try_share", tills.try_share, 0.05, 1);
-  tills.retry_pause = t.duration("retry_pause", tills.retry_pause);
-  tills.impatient = t.part("impatient", tills.impatient);
-  tills.leaves_after = t.duration("leaves_after", tills.leaves_after);
-  tills.direct = t.part("direct", tills.direct);
-  tills.notice = t.duration("notice", tills.notice);
+  tills.try_timeout_fraction = t.number("try_share", tills.try_timeout_fraction, 0.05, 1);
+  tills.retry_backoff = t.duration("retry_pause", tills.retry_backoff);
+  tills.early_leave_fraction = t.fraction("impatient", tills.early_leave_fraction);
+  tills.early_leave_after = t.duration("leaves_after", tills.early_leave_after);
+  tills.direct_fraction = t.fraction("direct", tills.direct_fraction);
+  tills.failure_detection_delay = t.duration("notice", tills.failure_detection_delay);
   for (TableReader s : t.tables("scan")) {
     Scan scan;
     read_span(s, day, scan.from, scan.until, true);
-    scan.share = s.part("share", 0.1);
-    s.finish();
+    scan.share = s.fraction("share", 0.1);
+    s.reject_unknown_keys();
     tills.scans.push_back(scan);
   }
   for (TableReader c : t.tables("class")) {
     TillClass k;
     k.name = c.text("name");
     for (const TillClass& other : tills.classes)
-      if (other.name == k.name) c.bad("name", "class '" + k.name + "' is defined twice");
-    k.share = c.part("share", 0);
+      if (other.name == k.name) c.fail("name", "class '" + k.name + "' is defined twice");
+    k.share = c.fraction("share", 0);
     k.work = c.duration("work", k.work);
-    k.wanted = c.duration("wanted", k.wanted);
-    k.gives_up = c.duration("gives_up", k.gives_up);
-    if (k.gives_up < k.wanted) c.bad("gives_up", "must not be less than 'wanted'");
+    k.latency_objective = c.duration("wanted", k.latency_objective);
+    k.deadline = c.duration("gives_up", k.deadline);
+    if (k.deadline < k.latency_objective) c.fail("gives_up", "must not be less than 'wanted'");
     k.worth = c.number("worth", k.worth, 0, 1000);
-    k.late_worth = c.part("late_worth", k.late_worth);
+    k.late_worth = c.fraction("late_worth", k.late_worth);
     k.keyed = c.flag("keyed", false);
-    c.finish();
+    c.reject_unknown_keys();
     tills.classes.push_back(k);
   }
   if (tills.classes.empty())
     tills.classes = {{"price-lookup", 0.945, 30'000, 150'000, 600'000, 3, 0.27, false},
                      {"sale-record", 0.055, 45'000, 250'000, 1'000'000, 2, 0.27, true}};
   for (TableReader b : t.tables("banner")) {
-    tills.banners.push_back({b.text("name"), b.part("share", 0)});
-    b.finish();
+    tills.tenants.push_back({b.text("name"), b.fraction("share", 0)});
+    b.reject_unknown_keys();
   }
-  if (tills.banners.empty()) tills.banners = {{"selam-stores", 0.56}, {"koket-express", 0.44}};
+  if (tills.tenants.empty()) tills.tenants = {{"selam-stores", 0.56}, {"koket-express", 0.44}};
   for (TableReader s : t.tables("shape")) {
-    Shape shape;
-    read_span(s, day, shape.from, shape.until, true);
-    shape.from_factor = s.number("factor", 1, 0, 100);
-    shape.to_factor = s.number("to_factor", shape.from_factor, 0, 100);
+    RateRamp ramp;
+    read_span(s, day, ramp.from, ramp.until, true);
+    ramp.from_factor = s.number("factor", 1, 0, 100);
+    ramp.to_factor = s.number("to_factor", ramp.from_factor, 0, 100);
     if (s.has("banner")) {
       std::vector<std::string> names;
-      for (const Banner& b : tills.banners) names.push_back(b.name);
-      shape.banner = index_of(names, s.text("banner"));
-      if (shape.banner < 0) s.bad("banner", "no such banner (banners: " + joined(names) + ")");
+      for (const Tenant& b : tills.tenants) names.push_back(b.name);
+      ramp.tenant = index_of(names, s.text("banner"));
+      if (ramp.tenant < 0) s.fail("banner", "no such banner (banners: " + joined(names) + ")");
     }
-    s.finish();
-    tills.shapes.push_back(shape);
+    s.reject_unknown_keys();
+    tills.rate_ramps.push_back(ramp);
   }
   auto adds_up = [&](const auto& list, const char* key) {
     double sum = 0;
     for (const auto& item : list) sum += item.share;
     if (std::abs(sum - 1) > 1e-6)
-      t.bad(key, "shares add up to " + std::to_string(sum) + ", not to 1");
+      t.fail(key, "shares add up to " + std::to_string(sum) + ", not to 1");
   };
   adds_up(tills.classes, "class");
-  adds_up(tills.banners, "banner");
-  tills.hall_shares = t.numbers("hall_shares");
-  if (!tills.hall_shares.empty()) {
-    if (tills.hall_shares.size() != day.fleet.halls.size())
-      t.bad("hall_shares", "must have one value for each hall");
+  adds_up(tills.tenants, "banner");
+  tills.zone_shares = t.numbers("hall_shares");
+  if (!tills.zone_shares.empty()) {
+    if (tills.zone_shares.size() != day.fleet.halls.size())
+      t.fail("hall_shares", "must have one value for each hall");
     double sum = 0;
-    for (double s : tills.hall_shares) {
-      if (!(s >= 0)) t.bad("hall_shares", "has a negative value");
+    for (double s : tills.zone_shares) {
+      if (!(s >= 0)) t.fail("hall_shares", "has a negative value");
       sum += s;
     }
-    if (std::abs(sum - 1) > 1e-6) t.bad("hall_shares", "do not add up to 1");
+    if (std::abs(sum - 1) > 1e-6) t.fail("hall_shares", "do not add up to 1");
   }
-  t.finish();
+  t.reject_unknown_keys();
 }
 
-/// The price caches that an event affects; appends their names to `told`.
-std::vector<int> servers_of(TableReader& e, const Day& day, Micros at, std::string& told) {
+/// The price caches that an event affects; appends their names to `affected`.
+std::vector<int> servers_of(TableReader& e, const Day& day, Micros at, std::string& affected) {
   auto names = e.texts("servers");
   std::vector<int> chosen;
   if (!names.empty()) {
@@ -300,17 +300,17 @@
       auto it = std::find_if(day.fleet.servers.begin(), day.fleet.servers.end(),
                              [&](auto& s) { return s.id == name; });
       if (it == day.fleet.servers.end())
-        e.bad("servers", "no price cache '" + name + "' (pc-1 to pc-" +
-                             std::to_string(day.fleet.servers.size()) + ")");
-      if (it->joins > at) e.bad("servers", "'" + name + "' joins after the start of the event");
+        e.fail("servers", "no price cache '" + name + "' (pc-1 to pc-" +
+                              std::to_string(day.fleet.servers.size()) + ")");
+      if (it->joins > at) e.fail("servers", "'" + name + "' joins after the start of the event");
       chosen.push_back(static_cast<int>(it - day.fleet.servers.begin()));
     }
-    told = joined(names);
+    affected = joined(names);
   } else {
     int hall = e.has("hall") ? hall_of(e, "hall", day) : -1;
     int kind = e.has("kind") ? kind_of(e, day) : -1;
-    double part = e.part("part", hall < 0 && kind < 0 ? -1 : 1);
-    if (part < 0) e.bad_here("no price cache selected: set 'servers', 'hall', 'kind' or 'part'");
+    double part = e.fraction("part", hall < 0 && kind < 0 ? -1 : 1);
+    if (part < 0) e.fail_table("no price cache selected: set 'servers', 'hall', 'kind' or 'part'");
     for (std::size_t k = 0; k < day.fleet.servers.size(); ++k) {
       const auto& s = day.fleet.servers[k];
       if ((hall < 0 || s.hall == hall) && (kind < 0 || s.kind == kind) && s.joins <= at)
@@ -325,32 +325,33 @@
     chosen.resize(static_cast<std::size_t>(std::ceil(part * static_cast<double>(chosen.size()))));
     std::sort(chosen.begin(), chosen.end());
     for (int k : chosen)
-      told += (told.empty() ? "" : ", ") + day.fleet.servers[static_cast<std::size_t>(k)].id;
+      affected +=
+          (affected.empty() ? "" : ", ") + day.fleet.servers[static_cast<std::size_t>(k)].id;
   }
-  if (chosen.empty()) e.bad_here("selects no price cache");
+  if (chosen.empty()) e.fail_table("selects no price cache");
   return chosen;
 }
 
-/// The routers that an event affects; appends their names to `told`.
-std::vector<int> routers_of(TableReader& e, const Day& day, std::string& told) {
+/// The routers that an event affects; appends their names to `affected`.
+std::vector<int> routers_of(TableReader& e, const Day& day, std::string& affected) {
   std::vector<int> chosen;
   for (const std::string& name : e.texts("routers")) {
     int number = -1;
     for (std::size_t k = 0; k < day.routers.halls.size(); ++k)
       if (name == "r" + std::to_string(k + 1)) number = static_cast<int>(k);
     if (number < 0)
-      e.bad("routers",
-            "no router '" + name + "' (r1 to r" + std::to_string(day.routers.halls.size()) + ")");
+      e.fail("routers",
+             "no router '" + name + "' (r1 to r" + std::to_string(day.routers.halls.size()) + ")");
     chosen.push_back(number);
-    told += (told.empty() ? "" : ", ") + name;
+    affected += (affected.empty() ? "" : ", ") + name;
   }
   if (e.has("hall")) {
     int hall = hall_of(e, "hall", day);
     for (std::size_t k = 0; k < day.routers.halls.size(); ++k)
       if (day.routers.halls[k] == hall) chosen.push_back(static_cast<int>(k));
-    told += "of " + day.fleet.halls[static_cast<std::size_t>(hall)];
+    affected += "of " + day.fleet.halls[static_cast<std::size_t>(hall)];
   }
-  if (chosen.empty()) e.bad_here("no router selected: set 'routers' or 'hall'");
+  if (chosen.empty()) e.fail_table("no router selected: set 'routers' or 'hall'");
   return chosen;
 }
 
@@ -358,98 +359,98 @@
   auto& l = day.ledger;
   l.on = true;
   l.keepers = static_cast<int>(t.integer("keepers", l.keepers, 1, 7));
-  if (l.keepers % 2 == 0) t.bad("keepers", "must be odd: 1, 3, 5 or 7");
+  if (l.keepers % 2 == 0) t.fail("keepers", "must be odd: 1, 3, 5 or 7");
   l.followers = static_cast<int>(t.integer("followers", l.followers, 1, 256));
   l.clients = static_cast<int>(t.integer("clients", l.clients, 1, 16));
   l.names = static_cast<int>(t.integer("names", l.names, 1, 64));
   l.operators = static_cast<int>(t.integer("operators", l.operators, 0, 4));
-  t.finish();
+  t.reject_unknown_keys();
 }
 
 /// Reads an event of the replicated ledger: one fault for each router that it names.
 Event read_ledger_event(TableReader& e, const std::string& what, Day& day) {
-  if (!day.ledger.on) e.bad("what", "'" + what + "' requires a [ledger] table");
-  std::string kind = what.substr(what.find('-') + 1), told, known;
+  if (!day.ledger.on) e.fail("what", "'" + what + "' requires a [ledger] table");
+  std::string kind = what.substr(what.find('-') + 1), affected, known;
   for (std::string_view name : kit::kLedgerFaults) known += " ledger-" + std::string(name);
   if (std::find(std::begin(kit::kLedgerFaults), std::end(kit::kLedgerFaults), kind) ==
       std::end(kit::kLedgerFaults))
-    e.bad("what", "no event '" + what + "' (known:" + known + ")");
+    e.fail("what", "no event '" + what + "' (known:" + known + ")");
   LedgerEvent event;
   event.what = kind;
   read_span(e, day, event.at, event.until, true);
   if (kit::has_word(kit::kTimedFaults, kind)) event.by = e.duration("by");
   if (kind == "rate") event.kib_per_s = e.number("kib_per_s", 64, 0.1, 1e6);
-  auto routers = routers_of(e, day, told);
+  auto routers = routers_of(e, day, affected);
   if (kit::has_word(kit::kLinkFaults, kind)) {
     std::string to = e.text("to");
     for (std::size_t k = 0; k < day.routers.halls.size(); ++k)
       if (to == "r" + std::to_string(k + 1)) event.to = static_cast<int>(k) + 1;
-    if (event.to == 0) e.bad("to", "no router '" + to + "'");
+    if (event.to == 0) e.fail("to", "no router '" + to + "'");
     --event.to;
-    told += " to " + to;
+    affected += " to " + to;
   }
   for (int router : routers) {
     event.router = router;
     day.ledger.events.push_back(event);
   }
-  return {event.at, event.until, what + " " + told};
+  return {event.at, event.until, what + " " + affected};
 }
 
 void read_event(TableReader e, Day& day) {
   std::string what = e.text("what");
   Event event;
-  std::string told;
-  const std::vector<std::pair<std::string, RouterFaultKind>> of_routers{
+  std::string affected;
+  const std::vector<std::pair<std::string, RouterFaultKind>> router_events{
       {"router-restarts", RouterFaultKind::kRestart},
       {"router-killed", RouterFaultKind::kKill},
       {"router-reloads", RouterFaultKind::kReload},
       {"router-frozen", RouterFaultKind::kFreeze}};
-  auto router =
-      std::find_if(of_routers.begin(), of_routers.end(), [&](auto& r) { return r.first == what; });
-  if (router != of_routers.end()) {
+  auto router = std::find_if(router_events.begin(), router_events.end(),
+                             [&](auto& r) { return r.first == what; });
+  if (router != router_events.end()) {
     RouterFault f;
     f.kind = router->second;
     bool spans = f.kind == RouterFaultKind::kKill || f.kind == RouterFaultKind::kFreeze;
     read_span(e, day, f.at, f.until, spans);
     if (!spans) f.until = f.at;
-    f.routers = routers_of(e, day, told);
+    f.routers = routers_of(e, day, affected);
     if (f.kind == RouterFaultKind::kReload) {
       f.operator_text = operator_of(e, day);
       if (!f.operator_text.empty() && day.routers.operator_text.empty())
-        e.bad("operator", "the routers run without an operator file: set routers.operator");
+        e.fail("operator", "the routers run without an operator file: set routers.operator");
     }
-    event = {f.at, f.until, what + " " + told};
+    event = {f.at, f.until, what + " " + affected};
     day.router_faults.push_back(f);
   } else if (what.rfind("ledger-", 0) == 0) {
     event = read_ledger_event(e, what, day);
   } else if (what == "grows") {
     Micros at = e.duration("at");
     if (at <= 0 || at >= day.length)
-      e.bad("at", "must be after the start and before the end of the day");
+      e.fail("at", "must be after the start and before the end of the day");
     int kind = kind_of(e, day);
     int hall = e.has("hall") ? hall_of(e, "hall", day) : -1;
-    std::int64_t count = e.integer("count", 1, 1, kMostServers);
+    std::int64_t count = e.integer("count", 1, 1, kMaxServers);
     add_servers(day, kind, hall, count, at, e);
     event = {at, at, "grows by " + std::to_string(count)};
   } else {
     standin::Fault f;
     bool found = false;
     std::string known = "grows";
-    for (const auto& [name, kind] : of_routers) known += ", " + name;
+    for (const auto& [name, kind] : router_events) known += ", " + name;
     for (FaultKind kind : standin::all_faults()) {
       known += std::string(", ") + name_of(kind);
       if (what == name_of(kind)) f.kind = kind, found = true;
     }
-    if (!found) e.bad("what", "no event '" + what + "' (known: " + known + ")");
+    if (!found) e.fail("what", "no event '" + what + "' (known: " + known + ")");
     read_span(e, day, f.from, f.until, f.kind == FaultKind::kDrain);
-    f.rate = e.part("rate", 1);
+    f.rate = e.fraction("rate", 1);
     f.factor = e.number("factor", 3, 0.01, 10'000);
     f.delay = e.duration("delay", f.kind == FaultKind::kReplaced ? 500'000 : 200'000);
     switch (f.kind) {
       case FaultKind::kHallCut:
       case FaultKind::kHallSlow:
         f.hall = hall_of(e, "hall", day);
-        told = day.fleet.halls[static_cast<std::size_t>(f.hall)];
+        affected = day.fleet.halls[static_cast<std::size_t>(f.hall)];
         break;
       case FaultKind::kDiscoveryDown:
       case FaultKind::kDiscoveryLate:
@@ -458,50 +459,51 @@
       case FaultKind::kDiscoverySlow:
         break;
       default:
-        f.servers = servers_of(e, day, f.from, told);
+        f.servers = servers_of(e, day, f.from, affected);
     }
-    event = {f.from, f.until, what + (told.empty() ? "" : " " + told)};
+    event = {f.from, f.until, what + (affected.empty() ? "" : " " + affected)};
     day.faults.push_back(f);
   }
-  e.finish();
+  e.reject_unknown_keys();
   day.events.push_back(event);
 }
 
 void read_expect(TableReader t, Day& day) {
-  Expect& x = day.expect;
-  x.service = t.part("service", x.service);
-  x.worst_window = t.part("worst_window", x.worst_window);
-  x.worst_class = t.part("worst_class", x.worst_class);
-  x.worst_banner = t.part("worst_banner", x.worst_banner);
-  x.refused_below = t.part("refused_below", x.refused_below);
-  x.served = t.part("served", x.served);
-  x.ledger_answered = t.part("ledger_answered", x.ledger_answered);
+  Expectations& x = day.expect;
+  x.service = t.fraction("service", x.service);
+  x.worst_window = t.fraction("worst_window", x.worst_window);
+  x.worst_class = t.fraction("worst_class", x.worst_class);
+  x.worst_tenant = t.fraction("worst_banner", x.worst_tenant);
+  x.refused_below = t.fraction("refused_below", x.refused_below);
+  x.served = t.fraction("served", x.served);
+  x.ledger_answered = t.fraction("ledger_answered", x.ledger_answered);
   if (t.has("ledger_p99")) x.ledger_p99 = t.duration("ledger_p99");
   if (!day.ledger.on && (x.ledger_answered >= 0 || x.ledger_p99 >= 0))
-    t.bad(t.has("ledger_p99") ? "ledger_p99" : "ledger_answered", "requires a [ledger] table");
+    t.fail(t.has("ledger_p99") ? "ledger_p99" : "ledger_answered", "requires a [ledger] table");
   x.memory_below = t.size("memory_below", day.routers.memory);
   x.memory_growth_below = t.number("memory_growth_below", x.memory_growth_below, 0, 100);
   x.descriptors_below =
       static_cast<int>(t.integer("descriptors_below", day.routers.sockets, 1, 1'000'000));
   x.answer_slack = t.duration("answer_slack", x.answer_slack);
   x.drain_grace = t.duration("drain_grace", x.drain_grace);
-  x.held_back = t.duration("held_back", x.held_back);
-  TableReader p99 = t.below("p99");
+  x.max_answer_delay = t.duration("held_back", x.max_answer_delay);
+  TableReader p99 = t.subtable("p99");
   for (const TillClass& c : day.tills.classes)
     if (p99.has(c.name.c_str())) x.p99.emplace_back(c.name, p99.duration(c.name.c_str()));
-  p99.finish();
-  TableReader banner = t.below("banner");
-  for (const Banner& b : day.tills.banners)
-    if (banner.has(b.name.c_str())) x.banners.emplace_back(b.name, banner.part(b.name.c_str(), 0));
-  banner.finish();
-  t.finish();
+  p99.reject_unknown_keys();
+  TableReader tenant = t.subtable("banner");
+  for (const Tenant& b : day.tills.tenants)
+    if (tenant.has(b.name.c_str()))
+      x.tenants.emplace_back(b.name, tenant.fraction(b.name.c_str(), 0));
+  tenant.reject_unknown_keys();
+  t.reject_unknown_keys();
 }
 
 void read_rig(TableReader t, Day& day) {
   day.rig.late_p99 = t.duration("late_p99", day.rig.late_p99);
   day.rig.late_worst = t.duration("late_worst", day.rig.late_worst);
   day.rig.ready_within = t.duration("ready_within", day.rig.ready_within);
-  t.finish();
+  t.reject_unknown_keys();
 }
 
 Day day_of(const toml::table& root, const std::string& file) {
@@ -513,25 +515,26 @@
   day.seed =
       static_cast<std::uint64_t>(t.integer("seed", 1, 0, std::numeric_limits<std::int64_t>::max()));
   day.length = t.duration("length");
-  if (day.length < 1'000'000 || day.length > kLongestDay) t.bad("length", "must be from 1s to 1h");
-  read_halls(t.below("halls"), day);
-  read_fleet(t.below("fleet"), day);
-  read_origin(t.below("origin"), day);
-  read_discovery(t.below("discovery"), day);
-  read_routers(t.below("routers"), day);
-  read_tills(t.below("tills"), day);
-  if (t.has("ledger")) read_ledger(t.below("ledger"), day);
+  if (day.length < 1'000'000 || day.length > kMaxDayLength)
+    t.fail("length", "must be from 1s to 1h");
+  read_halls(t.subtable("halls"), day);
+  read_fleet(t.subtable("fleet"), day);
+  read_origin(t.subtable("origin"), day);
+  read_discovery(t.subtable("discovery"), day);
+  read_routers(t.subtable("routers"), day);
+  read_tills(t.subtable("tills"), day);
+  if (t.has("ledger")) read_ledger(t.subtable("ledger"), day);
   for (TableReader event : t.tables("event")) read_event(event, day);
-  read_expect(t.below("expect"), day);
-  read_rig(t.below("rig"), day);
-  t.finish();
+  read_expect(t.subtable("expect"), day);
+  read_rig(t.subtable("rig"), day);
+  t.reject_unknown_keys();
   return day;
 }
 
 }  // namespace
 
 Day parse_day(const std::string& text, const std::string& name) {
-  if (text.size() > kMostFile) throw DayError(name + ":1: larger than 1 MiB");
+  if (text.size() > kMaxFileBytes) throw DayError(name + ":1: larger than 1 MiB");
   try {
     toml::table root = toml::parse(text, name);
     return day_of(root, name);
@@ -545,7 +548,7 @@
   struct stat info {};
   if (::stat(path.c_str(), &info) != 0) throw DayError(path + ":1: cannot be read");
   if (!S_ISREG(info.st_mode)) throw DayError(path + ":1: not a regular file");
-  if (static_cast<std::size_t>(info.st_size) > kMostFile)
+  if (static_cast<std::size_t>(info.st_size) > kMaxFileBytes)
     throw DayError(path + ":1: larger than 1 MiB");
   std::ifstream file(path, std::ios::binary);
   std::stringstream text;
--- a/src/kit/rehearse/day.hpp
+++ b/src/kit/rehearse/day.hpp
@@ -22,24 +22,24 @@
   double share = 0;      ///< fraction of all requests; the shares of a day add up to 1
   Micros work = 30'000;  ///< mean processing time on a core of speed 1
   /// Latency objective and deadline, both from the intended send time.
-  Micros wanted = 150'000, gives_up = 600'000;
+  Micros latency_objective = 150'000, deadline = 600'000;
   /// Worth per unit of work within the objective, and the fraction of it left until the deadline.
   double worth = 1, late_worth = 0.27;
   bool keyed = false;  ///< a write that carries an idempotency key
 };
 
 /// A tenant of the routers: a brand of stores.
-struct Banner {
+struct Tenant {
   std::string name;
   double share = 0;  ///< fraction of all requests
 };
 
 /// Multiplies the request rate by a factor that changes linearly from `from_factor` to `to_factor`
 /// over the interval. The factors of overlapping intervals multiply.
-struct Shape {
+struct RateRamp {
   Micros from = 0, until = 0;
   double from_factor = 1, to_factor = 1;
-  int banner = -1;  ///< index of the only tenant that it applies to; -1 = all tenants
+  int tenant = -1;  ///< index of the only tenant that it applies to; -1 = all tenants
 };
 
 /// An interval in which some reads ask for a key that no other request uses.
@@ -51,21 +51,21 @@
 /// The load that the tills generate.
 struct Tills {
   double rate = 300;  ///< requests per second over all zones
-  std::vector<Shape> shapes;
+  std::vector<RateRamp> rate_ramps;
   std::vector<Scan> scans;
   std::vector<TillClass> classes;
-  std::vector<Banner> banners;
-  std::vector<double> hall_shares;  ///< fraction of the requests of each zone; empty = equal
-  std::size_t keys = 20'000;        ///< number of distinct keys that are read
-  double zipf = 0.9;                ///< exponent of the popularity of keys
-  int retries = 2;                  ///< at most, for each request
-  double try_share = 0.45;  ///< attempt timeout of a till, as a fraction of the class's deadline
-  Micros retry_pause = 30'000;
-  double impatient = 0.01;       ///< fraction of the tries that the till abandons early
-  Micros leaves_after = 60'000;  ///< when an abandoned try is closed
-  double direct = 0;  ///< fraction of the reads sent straight to a price cache, for comparison
-  Micros notice =
-      2'000'000;  ///< until the load balancer of the tills detects that a router is down
+  std::vector<Tenant> tenants;
+  std::vector<double> zone_shares;     ///< fraction of the requests of each zone; empty = equal
+  std::size_t keys = 20'000;           ///< number of distinct keys that are read
+  double zipf = 0.9;                   ///< exponent of the popularity of keys
+  int retries = 2;                     ///< at most, for each request
+  double try_timeout_fraction = 0.45;  ///< timeout of one try, as a fraction of the deadline
+  Micros retry_backoff = 30'000;
+  double early_leave_fraction = 0.01;  ///< fraction of the tries that the till abandons early
+  Micros early_leave_after = 60'000;   ///< when an abandoned try is closed
+  double direct_fraction = 0;          ///< fraction of the reads sent straight to a price cache
+  /// How long the load balancer of the tills takes to detect that a router is down.
+  Micros failure_detection_delay = 2'000'000;
 };
 
 enum class RouterFaultKind { kRestart, kKill, kReload, kFreeze };
@@ -99,7 +99,7 @@
 
 /// The replicated ledger between the routers. A day that has one is played by
 /// `violetusher-kit chaos play`.
-struct LedgerDay {
+struct LedgerSettings {
   bool on = false;
   int keepers = 3, followers = 4;  ///< voting and non-voting replicas
   int clients = 4, names = 5;      ///< concurrent clients, and distinct values they access
@@ -108,25 +108,25 @@
 };
 
 /// Expectations on the figures of a day. A negative value is not checked. Fractions are 0 to 1.
-struct Expect {
+struct Expectations {
   /// Least service (worth earned / worth asked): overall, and of the worst window, class, tenant.
-  double service = -1, worst_window = -1, worst_class = -1, worst_banner = -1;
+  double service = -1, worst_window = -1, worst_class = -1, worst_tenant = -1;
   double refused_below = -1;    ///< fraction of the requests that end as refused
   double served = -1;           ///< least fraction of the requests that end as served
   double ledger_answered = -1;  ///< least fraction of the ledger calls that are answered
   Micros ledger_p99 = -1;       ///< longest p99 latency of answered ledger calls
-  std::vector<std::pair<std::string, Micros>>
-      p99;  ///< class, longest p99 latency of served requests
-  std::vector<std::pair<std::string, double>> banners;  ///< tenant, least service
+  /// By name of the class: the longest p99 latency of served requests.
+  std::vector<std::pair<std::string, Micros>> p99;
+  std::vector<std::pair<std::string, double>> tenants;  ///< name, least service
   std::uint64_t memory_below = 0;  ///< bytes, for each router; default: its memory limit
   /// Growth of the mean resident memory from the second quarter of the day to the last, as a
   /// fraction.
   double memory_growth_below = -1;
   int descriptors_below = 0;  ///< open file descriptors of each router
-  /// Tolerances of the rules: how late an answer may come after the attempt timeout, how long
+  /// Tolerances of the rules: how late an answer may come after the timeout of a try, how long
   /// attempts may still go to a price cache that drains, and how long a refusal or failure may wait
   /// once nothing is in progress for the request.
-  Micros answer_slack = 50'000, drain_grace = 500'000, held_back = 150'000;
+  Micros answer_slack = 50'000, drain_grace = 500'000, max_answer_delay = 150'000;
 };
 
 /// Limits on the scheduling delay of the rig itself. Beyond them the result is inconclusive.
@@ -149,10 +149,10 @@
   standin::FleetSpec fleet;
   std::vector<standin::Fault> faults;
   Routers routers;
-  LedgerDay ledger;
+  LedgerSettings ledger;
   std::vector<RouterFault> router_faults;
   Tills tills;
-  Expect expect;
+  Expectations expect;
   RigBounds rig;
   std::vector<Event> events;
 };
--- a/src/kit/rehearse/losses.hpp
+++ b/src/kit/rehearse/losses.hpp
@@ -16,20 +16,20 @@
 /// length.
 enum class Cause {
   // Not served.
-  kUntried,     ///< refused, and no attempt of the last try reached a price cache
-  kBusy,        ///< refused after a price cache answered busy
-  kAttempt,     ///< refused after an attempt that failed, was reset or timed out
-  kFailed,      ///< any other final error of the router
-  kLeft,        ///< the till closed its connection early
-  kUnanswered,  ///< connection closed, no answer, a malformed answer, or no router
+  kNoAttempt,      ///< refused, and no attempt of the last try reached a price cache
+  kBusy,           ///< refused after a price cache answered busy
+  kAttemptFailed,  ///< refused after an attempt that failed, was reset or timed out
+  kFailed,         ///< any other final error of the router
+  kClientLeft,     ///< the till closed its connection early
+  kNoAnswer,       ///< connection closed, no answer, a malformed answer, or no router
   // Served late.
-  kTries,     ///< before the last try: earlier tries without success, and the backoff between
-  kRouter,    ///< of the last try: router, wait for a connection, and network
-  kCrossing,  ///< the same when the attempt that served went to another zone
-  kWasted,    ///< earlier attempts of the last try
-  kBehind,    ///< head-of-line wait behind other answers on the connection
-  kServer,    ///< at the price cache, on a cache hit
-  kMiss,      ///< at the price cache and the product master, on a miss
+  kEarlierTries,  ///< before the last try: earlier tries without success, and the backoff between
+  kRouter,        ///< of the last try: router, wait for a connection, and network
+  kRouterCrossZone,  ///< the same when the attempt that served went to another zone
+  kEarlierAttempts,  ///< earlier attempts of the last try
+  kHeadOfLine,       ///< head-of-line wait behind other answers on the connection
+  kServer,           ///< at the price cache, on a cache hit
+  kMiss,             ///< at the price cache and the product master, on a miss
 };
 inline constexpr std::size_t kCauses = static_cast<std::size_t>(Cause::kMiss) + 1;
 /// The name of a cause in reports.
@@ -37,13 +37,13 @@
 
 /// Worth asked, earned and lost.
 struct Losses {
-  struct Part {
+  struct CauseLoss {
     double worth = 0;
     std::uint64_t requests = 0;  ///< requests that lost worth to this cause
   };
   double asked = 0;   ///< worth of all requests that were judged
   double earned = 0;  ///< asked - earned is the sum over all causes
-  std::array<Part, kCauses> parts = {};
+  std::array<CauseLoss, kCauses> by_cause = {};
 };
 
 /// Computes the losses of a played day. As in the verdict's service, which is earned / asked,
--- a/src/kit/rehearse/oracle.hpp
+++ b/src/kit/rehearse/oracle.hpp
@@ -15,10 +15,10 @@
 /// Names of the rules in a verdict.
 inline constexpr const char* kNoRequestLost = "no-request-lost";
 inline constexpr const char* kOneAnswer = "one-answer";
-inline constexpr const char* kNothingAfter = "nothing-after-the-answer";
+inline constexpr const char* kNoAttemptAfterAnswer = "nothing-after-the-answer";
 inline constexpr const char* kNoEffectTwice = "no-effect-twice";
-inline constexpr const char* kDrainsKept = "drains-kept";
-inline constexpr const char* kNotPushedOver = "no-cold-server-pushed-over";
+inline constexpr const char* kDrainsRespected = "drains-kept";
+inline constexpr const char* kNoColdServerOverloaded = "no-cold-server-pushed-over";
 inline constexpr const char* kAnsweredAtOnce = "answered-at-once";
 inline constexpr const char* kRoutersLive = "routers-live";
 
@@ -39,7 +39,7 @@
 /// Figures of one class or tenant.
 struct ClassFigures {
   std::string name;
-  std::uint64_t asked = 0, served = 0, in_aim = 0;
+  std::uint64_t asked = 0, served = 0, in_objective = 0;
   double service = 0;
   Micros p50 = 0, p99 = 0;
 };
@@ -55,17 +55,17 @@
 /// Resource usage of one router, by quarters of the day.
 struct RouterFigures {
   std::uint64_t memory_quarters[4] = {};  ///< mean resident bytes of each
-  std::uint64_t memory_most = 0;
+  std::uint64_t peak_memory = 0;
   int descriptor_quarters[4] = {};  ///< peak of each
   std::uint64_t tries = 0;
 };
 
 /// Head-of-line blocking: how long answers that were complete at a price cache waited behind other
 /// answers on their connection. Covers all answers that were completed and then written.
-struct LineFigures {
+struct HeadOfLineFigures {
   std::string name;
   std::uint64_t answers = 0;
-  std::uint64_t waited = 0;  ///< answers that waited longer than kLineWait
+  std::uint64_t waited = 0;  ///< answers that waited longer than kHeadOfLineThreshold
   Micros p50 = 0, p99 = 0, worst = 0, total = 0;
 };
 
@@ -80,9 +80,9 @@
   Micros p50 = 0, p99 = 0;
   Micros direct_p50 = 0, direct_p99 = 0;  ///< latency of reads sent straight to a price cache
   Micros routed_p50 = 0, routed_p99 = 0;  ///< added by the router to requests with one attempt
-  LineFigures line;                       ///< of all answers, then by price cache and by router
-  std::vector<LineFigures> line_by_server, line_by_router;
-  std::vector<ClassFigures> classes, banners;
+  HeadOfLineFigures head_of_line;         ///< of all answers, then by price cache and by router
+  std::vector<HeadOfLineFigures> head_of_line_by_server, head_of_line_by_router;
+  std::vector<ClassFigures> classes, tenants;
   std::vector<Window> windows;
   std::vector<RouterFigures> routers;
 
@@ -92,7 +92,7 @@
 
 inline constexpr std::size_t kMostFindings = 20;
 inline constexpr Micros kWindow = 5'000'000;
-inline constexpr Micros kLineWait = 1'000;
+inline constexpr Micros kHeadOfLineThreshold = 1'000;
 
 /// Judges the recorded history of a played day.
 Verdict judge(const Day& day, const Plan& plan, const kit::History& history);
--- a/src/kit/rehearse/plan.cpp
+++ b/src/kit/rehearse/plan.cpp
@@ -27,10 +27,10 @@
 
 }  // namespace
 
-double rate_factor(const Tills& tills, Micros at, int banner) {
+double rate_factor(const Tills& tills, Micros at, int tenant) {
   double factor = 1;
-  for (const Shape& s : tills.shapes) {
-    if (s.banner != banner || at < s.from || at >= s.until) continue;
+  for (const RateRamp& s : tills.rate_ramps) {
+    if (s.tenant != tenant || at < s.from || at >= s.until) continue;
     double part = static_cast<double>(at - s.from) / static_cast<double>(s.until - s.from);
     factor *= s.from_factor + (s.to_factor - s.from_factor) * part;
   }
@@ -41,25 +41,25 @@
   const Tills& tills = day.tills;
   kit::Draws draws(seed);
   kit::Zipf zipf(tills.keys, tills.zipf);
-  std::vector<double> halls = tills.hall_shares;
+  std::vector<double> halls = tills.zone_shares;
   if (halls.empty())
     halls.assign(day.fleet.halls.size(), 1.0 / static_cast<double>(day.fleet.halls.size()));
   Plan plan;
   plan.seed = seed;
   // An inhomogeneous Poisson process: arrivals are at exponential distances on the integral of the
   // rate.
-  bool uneven = std::any_of(tills.shapes.begin(), tills.shapes.end(),
-                            [](const Shape& s) { return s.banner >= 0; });
+  bool uneven = std::any_of(tills.rate_ramps.begin(), tills.rate_ramps.end(),
+                            [](const RateRamp& s) { return s.tenant >= 0; });
   double integral = 0, next = draws.exponential(Stream::kArrival, 0);
   for (Micros step = 0; step < day.length; step += kStep) {
     double rate = tills.rate * rate_factor(tills, step) / 1e6;  // per microsecond
-    std::vector<Banner> banners = tills.banners;
+    std::vector<Tenant> tenants = tills.tenants;
     if (uneven) {
       // A factor on one tenant changes the total rate, and the other tenants keep theirs.
       double sum = 0;
-      for (std::size_t b = 0; b < banners.size(); ++b)
-        sum += banners[b].share *= rate_factor(tills, step, static_cast<int>(b));
-      for (Banner& b : banners) b.share /= std::max(sum, 1e-12);
+      for (std::size_t b = 0; b < tenants.size(); ++b)
+        sum += tenants[b].share *= rate_factor(tills, step, static_cast<int>(b));
+      for (Tenant& b : tenants) b.share /= std::max(sum, 1e-12);
       rate *= sum;
     }
     double after = integral + rate * static_cast<double>(kStep);
@@ -69,7 +69,7 @@
       r.at = step + static_cast<Micros>((next - integral) / rate);
       if (r.at >= day.length) break;
       r.type = choose(tills.classes, draws.uniform(Stream::kClass, index));
-      r.banner = choose(banners, draws.uniform(Stream::kBanner, index));
+      r.tenant = choose(tenants, draws.uniform(Stream::kBanner, index));
       double u = draws.uniform(Stream::kHall, index), sum = 0;
       r.hall = static_cast<int>(halls.size()) - 1;
       for (std::size_t h = halls.size(); h-- > 0;) sum += halls[h];
@@ -94,7 +94,7 @@
               draws.uniform(Stream::kScan, index, s) < scan.share)
             r.key = "scan:" + std::to_string(index);
         }
-        r.direct = draws.uniform(Stream::kDirect, index) < tills.direct;
+        r.direct = draws.uniform(Stream::kDirect, index) < tills.direct_fraction;
       }
       r.hint = std::max<Micros>(
           1, static_cast<Micros>(static_cast<double>(type.work) *
@@ -113,7 +113,7 @@
       {"id", standin::request_id(request, 0)},
       {"at_us", r.at},
       {"class", day.tills.classes[static_cast<std::size_t>(r.type)].name},
-      {"banner", day.tills.banners[static_cast<std::size_t>(r.banner)].name},
+      {"banner", day.tills.tenants[static_cast<std::size_t>(r.tenant)].name},
       {"hall", day.fleet.halls[static_cast<std::size_t>(r.hall)]},
       {"key", r.key},
       {"k", r.idempotency},
--- a/src/kit/rehearse/report.cpp
+++ b/src/kit/rehearse/report.cpp
@@ -139,11 +139,11 @@
     ".muted{color:#5a6878}";
 
 /// Head-of-line waits as one line of text.
-std::string line_text(const LineFigures& f) {
+std::string head_of_line_text(const HeadOfLineFigures& f) {
   if (f.answers == 0) return "no answer";
   return percent(static_cast<double>(f.waited) / static_cast<double>(f.answers)) + " of " +
-         std::to_string(f.answers) + " answers waited over " + duration_text(kLineWait) + "; p99 " +
-         duration_text(f.p99) + ", worst " + duration_text(f.worst) + ", " +
+         std::to_string(f.answers) + " answers waited over " + duration_text(kHeadOfLineThreshold) +
+         "; p99 " + duration_text(f.p99) + ", worst " + duration_text(f.worst) + ", " +
          duration_text(f.total) + " in total";
 }
 
@@ -185,8 +185,8 @@
     if (f.rule != rule) text += "  " + f.rule + ":\n";
     rule = f.rule;
     text += "    " + finding_line(f) + "\n";
-    if (auto life = r.lives.find(f.request); life != r.lives.end())
-      text += indented(life->second.text);
+    if (auto timeline = r.timelines.find(f.request); timeline != r.timelines.end())
+      text += indented(timeline->second.text);
   }
   char line[256];
   std::snprintf(
@@ -207,7 +207,7 @@
           duration_text(r.played.rig.standins.quantile(0.99)) + ", worst " +
           duration_text(r.played.rig.standins.worst()) + "; latency added by a router " +
           duration_text(v.routed_p50) + " (median), " + duration_text(v.routed_p99) + " (p99)\n";
-  text += "head-of-line waits: " + line_text(v.line) + "\n";
+  text += "head-of-line waits: " + head_of_line_text(v.head_of_line) + "\n";
   if (!r.played.router_logs.empty()) text += r.played.router_logs;
   return text;
 }
@@ -227,8 +227,8 @@
   for (const Finding& f : v.findings) {
     json["findings"].push_back(
         {{"rule", f.rule}, {"request", f.request}, {"at_us", f.at}, {"what", f.what}});
-    if (auto life = r.lives.find(f.request); life != r.lives.end())
-      json["findings"].back()["life"] = life->second.text;
+    if (auto timeline = r.timelines.find(f.request); timeline != r.timelines.end())
+      json["findings"].back()["life"] = timeline->second.text;
   }
   json["checks"] = Json::array();
   for (const Check& c : v.checks)
@@ -248,33 +248,34 @@
   json["losses"] = {{"asked", losses.asked}, {"earned", losses.earned}, {"causes", Json::array()}};
   for (std::size_t k = 0; k < kCauses; ++k)
     json["losses"]["causes"].push_back({{"cause", name_of(static_cast<Cause>(k))},
-                                        {"worth", losses.parts[k].worth},
-                                        {"requests", losses.parts[k].requests}});
+                                        {"worth", losses.by_cause[k].worth},
+                                        {"requests", losses.by_cause[k].requests}});
   json["answer_us"] = {{"p50", v.p50}, {"p99", v.p99}};
   json["added_us"] = {{"p50", v.routed_p50}, {"p99", v.routed_p99}};
   json["direct_us"] = {{"p50", v.direct_p50}, {"p99", v.direct_p99}};
-  auto line = [](const LineFigures& f) {
+  auto line = [](const HeadOfLineFigures& f) {
     return Json{{"name", f.name},  {"answers", f.answers}, {"waited", f.waited}, {"p50_us", f.p50},
                 {"p99_us", f.p99}, {"worst_us", f.worst},  {"total_us", f.total}};
   };
   json["head_of_line"] = {
-      {"all", line(v.line)}, {"price_caches", Json::array()}, {"routers", Json::array()}};
-  for (const auto& f : v.line_by_server) json["head_of_line"]["price_caches"].push_back(line(f));
-  for (const auto& f : v.line_by_router) json["head_of_line"]["routers"].push_back(line(f));
+      {"all", line(v.head_of_line)}, {"price_caches", Json::array()}, {"routers", Json::array()}};
+  for (const auto& f : v.head_of_line_by_server)
+    json["head_of_line"]["price_caches"].push_back(line(f));
+  for (const auto& f : v.head_of_line_by_router) json["head_of_line"]["routers"].push_back(line(f));
   auto figures = [](const std::vector<ClassFigures>& list) {
     Json out = Json::array();
     for (const auto& f : list)
       out.push_back({{"name", f.name},
                      {"asked", f.asked},
                      {"served", f.served},
-                     {"in_aim", f.in_aim},
+                     {"in_aim", f.in_objective},
                      {"service", f.service},
                      {"p50_us", f.p50},
                      {"p99_us", f.p99}});
     return out;
   };
   json["classes"] = figures(v.classes);
-  json["banners"] = figures(v.banners);
+  json["banners"] = figures(v.tenants);
   json["windows"] = Json::array();
   for (const Window& w : v.windows)
     json["windows"].push_back({{"from_us", w.from},
@@ -288,7 +289,7 @@
   json["routers"] = Json::array();
   for (const auto& f : v.routers)
     json["routers"].push_back({{"tries", f.tries},
-                               {"memory_most", f.memory_most},
+                               {"memory_most", f.peak_memory},
                                {"memory_quarters", f.memory_quarters},
                                {"descriptor_quarters", f.descriptor_quarters}});
   auto late = [](const kit::Lateness& l) {
@@ -353,9 +354,9 @@
             row({"rule", "time of day", "request", "what happened"}, "th");
     for (const Finding& f : v.findings) {
       html += row({f.rule, duration_text(f.at), f.request.empty() ? "-" : f.request, f.what});
-      if (auto life = r.lives.find(f.request); life != r.lives.end())
-        html += "<tr><td colspan=\"4\">" + life->second.svg + "<pre>" + escaped(life->second.text) +
-                "</pre></td></tr>";
+      if (auto timeline = r.timelines.find(f.request); timeline != r.timelines.end())
+        html += "<tr><td colspan=\"4\">" + timeline->second.svg + "<pre>" +
+                escaped(timeline->second.text) + "</pre></td></tr>";
     }
     html += "</table>";
     for (const auto& [rule, count] : v.broken)
@@ -380,11 +381,11 @@
   }
   html += "</table><h2>Service</h2><table>" +
           row({"", "asked", "served", "within the objective", "service", "median", "p99"}, "th");
-  for (const auto* list : {&v.classes, &v.banners})
+  for (const auto* list : {&v.classes, &v.tenants})
     for (const auto& f : *list)
-      html +=
-          row({f.name, std::to_string(f.asked), std::to_string(f.served), std::to_string(f.in_aim),
-               percent(f.service), duration_text(f.p50), duration_text(f.p99)});
+      html += row({f.name, std::to_string(f.asked), std::to_string(f.served),
+                   std::to_string(f.in_objective), percent(f.service), duration_text(f.p50),
+                   duration_text(f.p99)});
   html += row({"all", std::to_string(v.requests), std::to_string(v.served), "", percent(v.service),
                duration_text(v.p50), duration_text(v.p99)});
   html += "</table><h2>By interval of five seconds</h2><table>" +
@@ -412,11 +413,11 @@
       "the "
       "order of "
       "the requests. Time from an answer being complete at its price cache until it was written: " +
-      escaped(line_text(v.line)) + ".</p><table>" +
-      row({"", "answers", "waited over " + duration_text(kLineWait), "median", "p99", "worst",
-           "total"},
+      escaped(head_of_line_text(v.head_of_line)) + ".</p><table>" +
+      row({"", "answers", "waited over " + duration_text(kHeadOfLineThreshold), "median", "p99",
+           "worst", "total"},
           "th");
-  for (const auto* list : {&v.line_by_server, &v.line_by_router})
+  for (const auto* list : {&v.head_of_line_by_server, &v.head_of_line_by_router})
     for (const auto& f : *list)
       if (f.answers)
         html +=
--- a/src/kit/rehearse/report.hpp
+++ b/src/kit/rehearse/report.hpp
@@ -21,11 +21,11 @@
   const Played& played;
   const Verdict& verdict;
   /// The timeline of a request, as each router recorded it, as text and as SVG.
-  struct Life {
+  struct RequestTimeline {
     std::string text, svg;
   };
-  std::map<std::string, Life>
-      lives;  ///< by id of the tries with findings; empty without recordings
+  /// By the id of a try with findings; empty without flight recordings.
+  std::map<std::string, RequestTimeline> timelines;
 
   /// A failure of the rig takes precedence over the verdict, as it may be the cause of violations.
   Outcome outcome() const;
--- a/src/kit/rehearse/rig.cpp
+++ b/src/kit/rehearse/rig.cpp
@@ -21,9 +21,9 @@
 namespace violetusher::rehearse {
 namespace {
 
-constexpr Micros kLeadIn = 300'000;      // from "all routers ready" to the start of the day
-constexpr Micros kAfterwards = 100'000;  // to record attempts sent after the last answer
-constexpr Micros kProgressEvery = 1'000'000, kLook = 20'000;
+constexpr Micros kStartDelay = 300'000;  // from "all routers ready" to the start of the day
+constexpr Micros kSettleTime = 100'000;  // to record attempts sent after the last answer
+constexpr Micros kProgressInterval = 1'000'000, kPollInterval = 20'000;
 
 /// The tills and the stand-ins need more file descriptors than the usual soft limit.
 void raise_descriptors() {
@@ -34,23 +34,23 @@
 }
 
 /// Runs tasks that other threads post on the loop's thread.
-class Mailbox {
+class LoopTaskQueue {
  public:
-  explicit Mailbox(kit::Loop& loop) : loop_(loop) { look(); }
+  explicit LoopTaskQueue(kit::Loop& loop) : loop_(loop) { poll(); }
   void post(std::function<void()> task) {
     std::lock_guard lock(mutex_);
     tasks_.push_back(std::move(task));
   }
 
  private:
-  void look() {
+  void poll() {
     std::vector<std::function<void()>> tasks;
     {
       std::lock_guard lock(mutex_);
       tasks.swap(tasks_);
     }
     for (auto& task : tasks) task();
-    loop_.at(loop_.now() + kLook, [this] { look(); });
+    loop_.at(loop_.now() + kPollInterval, [this] { poll(); });
   }
   kit::Loop& loop_;
   std::mutex mutex_;
@@ -115,35 +115,38 @@
                        fleet_history);
   int routers = static_cast<int>(day.routers.halls.size());
 
-  std::vector<RouterProcesses::Told> told;
+  std::vector<RouterProcesses::DiscoveryInfo> discovery;
   for (int r = 0; r < routers; ++r)
-    told.push_back({fleet.discovery_address(r), fleet.list_json(r)});
-  std::unique_ptr<Mailbox> to_tills;
-  TillSide* tills_at = nullptr;
+    discovery.push_back({fleet.discovery_address(r), fleet.list_json(r)});
+  std::unique_ptr<LoopTaskQueue> till_tasks;
+  TillLoadGenerator* tills_pointer = nullptr;
   std::vector<std::uint64_t> changes(static_cast<std::size_t>(routers), 0);
   RouterProcesses processes(
-      control, day, plan.seed, options.router, told, played.history, [&](int router, bool alive) {
+      control, day, plan.seed, options.router, discovery, played.history,
+      [&](int router, bool alive) {
         // The load balancer detects that a router is down only after some
         // time, and never if the router is up again by then. It sees a
         // start at once.
         auto change = ++changes[static_cast<std::size_t>(router)];
-        control.at(control.now() + (alive ? 0 : day.tills.notice), [&, router, alive, change] {
-          if (changes[static_cast<std::size_t>(router)] != change) return;
-          to_tills->post([&, router, alive] { tills_at->set_alive(router, alive); });
-        });
+        control.at(
+            control.now() + (alive ? 0 : day.tills.failure_detection_delay),
+            [&, router, alive, change] {
+              if (changes[static_cast<std::size_t>(router)] != change) return;
+              till_tasks->post([&, router, alive] { tills_pointer->set_alive(router, alive); });
+            });
       });
-  processes.record(options.flight);
+  processes.record_flights(options.flight);
   processes.kill_at_earliest(options.kill_at_earliest);
-  processes.operate(options.operator_more);
-  processes.surround(options.environment);
+  processes.set_operator_text(options.operator_more);
+  processes.set_environment(options.environment);
   std::vector<std::string> addresses;
   for (int r = 0; r < routers; ++r) addresses.push_back(processes.address(r));
   for (std::size_t s = 0; s < day.fleet.servers.size(); ++s)
     if (day.fleet.servers[s].joins == 0)
       addresses.push_back(fleet.address(static_cast<int>(s), routers));
-  TillSide tills(till_loop, day, plan, addresses, till_history);
-  tills_at = &tills;
-  to_tills = std::make_unique<Mailbox>(till_loop);
+  TillLoadGenerator tills(till_loop, day, plan, addresses, till_history);
+  tills_pointer = &tills;
+  till_tasks = std::make_unique<LoopTaskQueue>(till_loop);
 
   // From here on SIGINT and SIGTERM end the day in an orderly way.
   auto on_signal = [](evutil_socket_t, short, void* at) {
@@ -155,24 +158,24 @@
   event_add(term.get(), nullptr);
 
   if (options.before) options.before(control);
-  Mailbox to_fleet(fleet_loop);
+  LoopTaskQueue fleet_tasks(fleet_loop);
   LoopThread fleet_thread(fleet_loop), till_thread(till_loop);
   fleet_thread.start([] {});
   if (processes.start_all(played.not_started)) {
-    Micros origin = clock.now() + kLeadIn;
+    Micros origin = clock.now() + kStartDelay;
     played.history.origin = origin;
-    to_fleet.post([&, origin] { fleet.start(origin); });
+    fleet_tasks.post([&, origin] { fleet.start(origin); });
     till_thread.start([&] { tills.start(origin); });
-    processes.begin(origin);
+    processes.start_day(origin);
     if (options.beside) options.beside(control, processes, origin);
-    std::function<void()> look = [&] {
+    std::function<void()> poll = [&] {
       if (till_thread.done() || fleet_thread.done() || played.rig.interrupted)
         return control.stop();
-      control.at(control.now() + kLook, look);
+      control.at(control.now() + kPollInterval, poll);
     };
-    look();
+    poll();
     bool terminal = ::isatty(2);
-    std::function<void()> tell = [&] {
+    std::function<void()> print_progress = [&] {
       const TillCounts& c = tills.counts();
       Micros at = control.now() - origin;
       if (at >= 0)
@@ -184,12 +187,12 @@
             static_cast<unsigned long long>(c.served), static_cast<unsigned long long>(c.refused),
             static_cast<unsigned long long>(c.failed), static_cast<unsigned long long>(c.retries),
             terminal ? "  " : "\n");
-      control.at(control.now() + kProgressEvery, tell);
+      control.at(control.now() + kProgressInterval, print_progress);
     };
-    if (options.progress) tell();
+    if (options.progress) print_progress();
     control.run();
     if (options.progress && terminal) std::fprintf(stderr, "\n");
-    std::this_thread::sleep_for(std::chrono::microseconds(kAfterwards));
+    std::this_thread::sleep_for(std::chrono::microseconds(kSettleTime));
   }
   if (options.after) options.after();
   played.history.ended = clock.now();
--- a/src/kit/rehearse/routers.cpp
+++ b/src/kit/rehearse/routers.cpp
@@ -27,16 +27,16 @@
 namespace violetusher::rehearse {
 namespace {
 
-constexpr Micros kReapEvery = 5'000, kSampleEvery = 500'000, kReadyEvery = 10'000;
-constexpr Micros kEndsWithin = 5'000'000;  // after SIGTERM
+constexpr Micros kReapInterval = 5'000, kSampleInterval = 500'000, kReadyPollInterval = 10'000;
+constexpr Micros kTerminationTimeout = 5'000'000;  // after SIGTERM
 // With kill_at_earliest, SIGKILL is sent kKillSlack after the longest deadline of a class, which
-// counts at most kLongestWait.
-constexpr Micros kKillSlack = 700'000, kLongestWait = 3'000'000;
-constexpr int kAnswerMs = 200;
-constexpr int kConfigFd = 3, kOperatorFd = 4, kFirstFree = 5;
-constexpr off_t kMostLog = 4096, kMostSearched = 16 << 20;
+// counts at most kMaxDeadline.
+constexpr Micros kKillSlack = 700'000, kMaxDeadline = 3'000'000;
+constexpr int kReadyTimeoutMs = 200;
+constexpr int kConfigFd = 3, kOperatorFd = 4, kFirstFreeFd = 5;
+constexpr off_t kMaxLogBytes = 4096, kMaxSearchedBytes = 16 << 20;
 // Part of the log line about a violated invariant, in every log format.
-constexpr const char* kBrokenInvariant = "invariant ";
+constexpr const char* kInvariantMarker = "invariant ";
 
 std::string how_ended(int status) {
   if (WIFSIGNALED(status)) return std::string("signal ") + strsignal(WTERMSIG(status));
@@ -57,10 +57,10 @@
 }
 
 /// The last `most` bytes of a file.
-std::string tail_of(int fd, off_t most) {
+std::string tail_of(int fd, off_t max_bytes) {
   struct stat info {};
   if (::fstat(fd, &info) != 0) return {};
-  off_t size = info.st_size, from = std::max<off_t>(0, size - most);
+  off_t size = info.st_size, from = std::max<off_t>(0, size - max_bytes);
   std::string text(static_cast<std::size_t>(size - from), '\0');
   ssize_t got = ::pread(fd, text.data(), text.size(), from);
   text.resize(static_cast<std::size_t>(std::max<ssize_t>(got, 0)));
@@ -80,26 +80,27 @@
 }  // namespace
 
 RouterProcesses::RouterProcesses(kit::Loop& loop, const Day& day, std::uint64_t seed,
-                                 std::string program, std::vector<Told> told, kit::History& history,
-                                 std::function<void(int, bool)> changed)
+                                 std::string program, std::vector<DiscoveryInfo> discovery,
+                                 kit::History& history,
+                                 std::function<void(int, bool)> on_availability_change)
     : loop_(loop),
       day_(day),
       seed_(seed),
       program_(std::move(program)),
-      told_(std::move(told)),
+      discovery_(std::move(discovery)),
       history_(history),
-      changed_(std::move(changed)),
+      on_availability_change_(std::move(on_availability_change)),
       processes_(day.routers.halls.size()) {
   for (Process& p : processes_) {
-    p.holder = net::Fd(::socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0));
+    p.port_holder = net::Fd(::socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0));
     int yes = 1;
-    ::setsockopt(p.holder.get(), SOL_SOCKET, SO_REUSEADDR, &yes, sizeof yes);
+    ::setsockopt(p.port_holder.get(), SOL_SOCKET, SO_REUSEADDR, &yes, sizeof yes);
     sockaddr_in address{};
     address.sin_family = AF_INET;
     address.sin_addr.s_addr = htonl(INADDR_LOOPBACK);
     socklen_t size = sizeof address;
-    if (::bind(p.holder.get(), reinterpret_cast<sockaddr*>(&address), size) != 0 ||
-        ::getsockname(p.holder.get(), reinterpret_cast<sockaddr*>(&address), &size) != 0)
+    if (::bind(p.port_holder.get(), reinterpret_cast<sockaddr*>(&address), size) != 0 ||
+        ::getsockname(p.port_holder.get(), reinterpret_cast<sockaddr*>(&address), &size) != 0)
       throw std::runtime_error(std::string("no port for a router: ") + std::strerror(errno));
     p.port = ntohs(address.sin_port);
     p.config = net::Fd(::memfd_create("router-config", MFD_CLOEXEC));
@@ -133,8 +134,8 @@
                        {"Effect", c.keyed ? "by_key" : "repeatable"},
                        {"Group", "all"},
                        {"KeyTtlUs", c.keyed ? fleet.repeat_window : 0},
-                       {"ObjectiveUs", c.wanted},
-                       {"DeadlineUs", c.gives_up},
+                       {"ObjectiveUs", c.latency_objective},
+                       {"DeadlineUs", c.deadline},
                        {"Worth", c.worth},
                        {"LateWorth", c.late_worth}});
   double work = 0;
@@ -144,7 +145,7 @@
     const auto& kind = fleet.kinds[static_cast<std::size_t>(s.kind)];
     cores += kind.cores * kind.speed;
   }
-  for (const Banner& b : day_.tills.banners)
+  for (const Tenant& b : day_.tills.tenants)
     tenants.push_back({{"Name", b.name},
                        {"Portion", b.share},
                        {"QuotaPerS", 0.85 * b.share * cores / (work / 1e6)}});
@@ -179,16 +180,16 @@
   char seed[24];
   std::snprintf(seed, sizeof seed, "%016llx",
                 static_cast<unsigned long long>(kit::Draws(seed_).bits(
-                    kit::Stream::kRouterSeed, static_cast<std::uint64_t>(router), starts_)));
+                    kit::Stream::kRouterSeed, static_cast<std::uint64_t>(router), start_count_)));
   Json config{{"name", "r" + std::to_string(router + 1)},
               {"listen", address(router)},
-              {"discovery", told_[at].discovery},
+              {"discovery", discovery_[at].address},
               {"seed", seed},
               {"limits",
                {{"cores", 1.0},
                 {"memory_mb", day_.routers.memory >> 20},
                 {"sockets", day_.routers.sockets}}},
-              {"known", Json::parse(told_[at].known)},
+              {"known", Json::parse(discovery_[at].initial_hosts)},
               {"settings", settings}};
   return config.dump();
 }
@@ -197,7 +198,7 @@
 std::string RouterProcesses::operator_text(int router) const {
   std::string text = processes_[static_cast<std::size_t>(router)].operator_text;
   if (text.empty()) text = "version 1;\n";
-  if (more_) text += "\n" + more_(router);
+  if (extra_operator_text_) text += "\n" + extra_operator_text_(router);
   if (flight_.empty()) return text;
   std::string file = flight_ + "/r" + std::to_string(router + 1) + ".flight";
   return text + "\nrecorder rehearsal { file = \"" + file + "\"; size = 16MiB; }\n";
@@ -205,7 +206,7 @@
 
 void RouterProcesses::spawn(int router) {
   Process& p = processes_[static_cast<std::size_t>(router)];
-  ++starts_;
+  ++start_count_;
   write_all(p.config.get(), config_text(router));
   write_all(p.operator_file.get(), operator_text(router));
   // Everything that the child needs is created before the fork: other threads are running, so that
@@ -219,8 +220,9 @@
   for (std::string& v : variables) env.push_back(v.data());
   env.push_back(nullptr);
   std::string option = "--operator", path = "/proc/self/fd/" + std::to_string(kOperatorFd);
-  bool operated = this->operated();
-  char* arguments[] = {program_.data(), operated ? option.data() : nullptr, path.data(), nullptr};
+  bool has_operator_file = this->has_operator_file();
+  char* arguments[] = {program_.data(), has_operator_file ? option.data() : nullptr, path.data(),
+                       nullptr};
   // Above the descriptor numbers that they get in the child.
   net::Fd config_copy(::fcntl(p.config.get(), F_DUPFD_CLOEXEC, 10));
   net::Fd operator_copy(::fcntl(p.operator_file.get(), F_DUPFD_CLOEXEC, 10));
@@ -238,8 +240,8 @@
     ::dup2(log, 1);
     ::dup2(log, 2);
     ::dup2(config, kConfigFd);
-    if (operated) ::dup2(operator_fd, kOperatorFd);
-    ::close_range(operated ? kFirstFree : kOperatorFd, ~0u, 0);
+    if (has_operator_file) ::dup2(operator_fd, kOperatorFd);
+    ::close_range(has_operator_file ? kFirstFreeFd : kOperatorFd, ~0u, 0);
     rlimit descriptors{limit, limit};
     ::setrlimit(RLIMIT_NOFILE, &descriptors);
     ::signal(SIGPIPE, SIG_DFL);
@@ -248,7 +250,7 @@
   }
   ::close(nothing);
   p.pid = pid;
-  p.expected_end = p.start_again = p.cut_off = false;
+  p.exit_expected = p.restart = p.killed_at_deadline = false;
   p.kill_at = 0;
   p.life = history_.lives.size();
   kit::RouterLife life;
@@ -257,7 +259,7 @@
   history_.lives.push_back(life);
 }
 
-bool RouterProcesses::answers(int router) const {
+bool RouterProcesses::is_ready(int router) const {
   net::Fd fd(::socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0));
   sockaddr_in address{};
   address.sin_family = AF_INET;
@@ -268,7 +270,7 @@
   if (::send(fd.get(), "mn\r\n", 4, MSG_NOSIGNAL) != 4) return false;
   pollfd poll{fd.get(), POLLIN, 0};
   char bytes[8];
-  return ::poll(&poll, 1, kAnswerMs) == 1 && ::recv(fd.get(), bytes, sizeof bytes, 0) >= 2 &&
+  return ::poll(&poll, 1, kReadyTimeoutMs) == 1 && ::recv(fd.get(), bytes, sizeof bytes, 0) >= 2 &&
          bytes[0] == 'M' && bytes[1] == 'N';
 }
 
@@ -276,7 +278,7 @@
   for (std::size_t r = 0; r < processes_.size(); ++r) spawn(static_cast<int>(r));
   Micros limit = loop_.now() + day_.rig.ready_within;
   for (std::size_t r = 0; r < processes_.size(); ++r) {
-    while (!answers(static_cast<int>(r))) {
+    while (!is_ready(static_cast<int>(r))) {
       int status = 0;
       if (::waitpid(processes_[r].pid, &status, WNOHANG) == processes_[r].pid) {
         processes_[r].pid = -1;
@@ -288,29 +290,30 @@
         error = "r" + std::to_string(r + 1) + " was not ready in time: " + log(static_cast<int>(r));
         return false;
       }
-      std::this_thread::sleep_for(std::chrono::microseconds(kReadyEvery));
+      std::this_thread::sleep_for(std::chrono::microseconds(kReadyPollInterval));
     }
     history_.lives[processes_[r].life].ready = loop_.now();
   }
   return true;
 }
 
-void RouterProcesses::until_ready(int router, Micros since) {
+void RouterProcesses::poll_until_ready(int router, Micros since) {
   Process& p = processes_[static_cast<std::size_t>(router)];
   if (ending_ || p.pid <= 0 || history_.lives[p.life].started != since) return;
-  if (answers(router)) {
+  if (is_ready(router)) {
     history_.lives[p.life].ready = loop_.now();
-    changed_(router, true);
+    on_availability_change_(router, true);
     return;
   }
-  loop_.at(loop_.now() + kReadyEvery, [this, router, since] { until_ready(router, since); });
+  loop_.at(loop_.now() + kReadyPollInterval,
+           [this, router, since] { poll_until_ready(router, since); });
 }
 
-void RouterProcesses::begin(Micros origin) {
+void RouterProcesses::start_day(Micros origin) {
   for (const RouterFault& fault : day_.router_faults)
     loop_.at(origin + fault.at, [this, &fault] { act(fault); });
-  watch();
-  sample();
+  reap_periodically();
+  sample_periodically();
 }
 
 void RouterProcesses::act(const RouterFault& fault) {
@@ -320,21 +323,21 @@
     kit::RouterLife& life = history_.lives[p.life];
     switch (fault.kind) {
       case RouterFaultKind::kRestart:
-        p.expected_end = p.start_again = true;
-        p.kill_at = loop_.now() + ends_within();
+        p.exit_expected = p.restart = true;
+        p.kill_at = loop_.now() + termination_timeout();
         life.signalled = loop_.now();
-        changed_(router, false);
+        on_availability_change_(router, false);
         ::kill(p.pid, SIGTERM);
         break;
       case RouterFaultKind::kKill:
-        p.expected_end = true;
+        p.exit_expected = true;
         life.killed = true;
         ::kill(p.pid, SIGKILL);
-        changed_(router, false);
+        on_availability_change_(router, false);
         loop_.at(loop_.now() + (fault.until - fault.at), [this, router] {
           reap();
           spawn(router);
-          until_ready(router, history_.lives.back().started);
+          poll_until_ready(router, history_.lives.back().started);
         });
         break;
       case RouterFaultKind::kReload:
@@ -347,13 +350,13 @@
       case RouterFaultKind::kFreeze:
         life.frozen.emplace_back(loop_.now(), loop_.now() + (fault.until - fault.at));
         ::kill(p.pid, SIGSTOP);
-        changed_(router, false);
+        on_availability_change_(router, false);
         loop_.at(life.frozen.back().second, [this, router, pid = p.pid] {
           Process& now = processes_[static_cast<std::size_t>(router)];
           if (now.pid != pid) return;
           ::kill(pid, SIGCONT);
           history_.lives[now.life].frozen.back().second = loop_.now();
-          changed_(router, true);
+          on_availability_change_(router, true);
         });
         break;
     }
@@ -361,11 +364,11 @@
 }
 
 /// The time that a router has from SIGTERM until it ends.
-Micros RouterProcesses::ends_within() const {
-  if (!kill_at_earliest_) return kEndsWithin;
+Micros RouterProcesses::termination_timeout() const {
+  if (!kill_at_earliest_) return kTerminationTimeout;
   Micros longest = 0;
-  for (const TillClass& c : day_.tills.classes) longest = std::max(longest, c.gives_up);
-  return std::min(longest, kLongestWait) + kKillSlack;
+  for (const TillClass& c : day_.tills.classes) longest = std::max(longest, c.deadline);
+  return std::min(longest, kMaxDeadline) + kKillSlack;
 }
 
 void RouterProcesses::reap() {
@@ -373,8 +376,8 @@
     Process& p = processes_[r];
     if (p.pid <= 0) continue;
     if (p.kill_at && loop_.now() > p.kill_at) {
-      p.cut_off = kill_at_earliest_;
-      if (!p.cut_off) {  // it did not end after SIGTERM
+      p.killed_at_deadline = kill_at_earliest_;
+      if (!p.killed_at_deadline) {  // it did not end after SIGTERM
         history_.lives[p.life].crashed = true;
         crashed_ = true;
       }
@@ -387,43 +390,43 @@
     life.ended = loop_.now();
     life.how = how_ended(status);
     bool clean = WIFEXITED(status) && WEXITSTATUS(status) == 0;
-    if (!p.expected_end || (!clean && !life.killed && !p.cut_off)) {
+    if (!p.exit_expected || (!clean && !life.killed && !p.killed_at_deadline)) {
       life.crashed = true;
       crashed_ = true;
-      changed_(static_cast<int>(r), false);
+      on_availability_change_(static_cast<int>(r), false);
     }
     p.pid = -1;
-    if (p.start_again && !ending_) {
+    if (p.restart && !ending_) {
       spawn(static_cast<int>(r));
-      until_ready(static_cast<int>(r), history_.lives.back().started);
+      poll_until_ready(static_cast<int>(r), history_.lives.back().started);
     }
   }
 }
 
-void RouterProcesses::watch() {
+void RouterProcesses::reap_periodically() {
   reap();
-  loop_.at(loop_.now() + kReapEvery, [this] { watch(); });
+  loop_.at(loop_.now() + kReapInterval, [this] { reap_periodically(); });
 }
 
-void RouterProcesses::sample() {
+void RouterProcesses::sample_periodically() {
   for (std::size_t r = 0; r < processes_.size(); ++r) {
     const Process& p = processes_[r];
     if (p.pid <= 0 || history_.lives[p.life].ready == 0) continue;
     history_.router_samples.push_back(
         {static_cast<int>(r), loop_.now(), resident_bytes(p.pid), descriptors(p.pid)});
   }
-  loop_.at(loop_.now() + kSampleEvery, [this] { sample(); });
+  loop_.at(loop_.now() + kSampleInterval, [this] { sample_periodically(); });
 }
 
 void RouterProcesses::stop_all() {
   ending_ = true;
   for (Process& p : processes_) {
     if (p.pid <= 0) continue;
-    p.expected_end = true;
+    p.exit_expected = true;
     ::kill(p.pid, SIGCONT);
     ::kill(p.pid, SIGTERM);
   }
-  Micros limit = loop_.now() + kEndsWithin;
+  Micros limit = loop_.now() + kTerminationTimeout;
   auto running = [&] {
     reap();
     for (const Process& p : processes_)
@@ -434,20 +437,20 @@
     if (loop_.now() > limit)
       for (Process& p : processes_)
         if (p.pid > 0) p.kill_at = 1;
-    std::this_thread::sleep_for(std::chrono::microseconds(kReapEvery));
+    std::this_thread::sleep_for(std::chrono::microseconds(kReapInterval));
   }
 }
 
 std::string RouterProcesses::log(int router) const {
-  return tail_of(processes_[static_cast<std::size_t>(router)].log.get(), kMostLog);
+  return tail_of(processes_[static_cast<std::size_t>(router)].log.get(), kMaxLogBytes);
 }
 
 std::vector<std::string> RouterProcesses::violations() const {
   std::vector<std::string> found;
   for (std::size_t r = 0; r < processes_.size(); ++r) {
-    std::istringstream text(tail_of(processes_[r].log.get(), kMostSearched));
+    std::istringstream text(tail_of(processes_[r].log.get(), kMaxSearchedBytes));
     for (std::string line; std::getline(text, line);)
-      if (line.find(kBrokenInvariant) != line.npos)
+      if (line.find(kInvariantMarker) != line.npos)
         found.push_back("r" + std::to_string(r + 1) + ": " + line);
   }
   return found;
--- a/src/kit/rehearse/routers.hpp
+++ b/src/kit/rehearse/routers.hpp
@@ -18,24 +18,26 @@
 class RouterProcesses {
  public:
   /// The discovery settings of one router.
-  struct Told {
-    std::string discovery, known;  ///< discovery address, and the initial host list as JSON
+  struct DiscoveryInfo {
+    std::string address, initial_hosts;  ///< discovery address, and the initial host list as JSON
   };
-  /// `changed` is called with a router and whether the tills may connect to it.
+  /// `on_availability_change` is called with a router and whether the tills may connect to it.
   RouterProcesses(kit::Loop& loop, const Day& day, std::uint64_t seed, std::string program,
-                  std::vector<Told> told, kit::History& history,
-                  std::function<void(int, bool)> changed);
+                  std::vector<DiscoveryInfo> discovery, kit::History& history,
+                  std::function<void(int, bool)> on_availability_change);
   /// Kills the routers that still run.
   ~RouterProcesses();
 
   std::string address(int router) const;
   /// Routers started from now on record to rN.flight in `folder`; empty = no recordings.
-  void record(const std::string& folder) { flight_ = folder; }
+  void record_flights(const std::string& folder) { flight_ = folder; }
   /// Sets a source of text that is appended to each router's operator file.
-  void operate(std::function<std::string(int)> more) { more_ = std::move(more); }
+  void set_operator_text(std::function<std::string(int)> source) {
+    extra_operator_text_ = std::move(source);
+  }
   /// Sets a source of additional environment variables for each router.
-  void surround(std::function<std::vector<std::string>(int)> more) {
-    environment_ = std::move(more);
+  void set_environment(std::function<std::vector<std::string>(int)> source) {
+    environment_ = std::move(source);
   }
   /// If on, a router that was sent SIGTERM is killed at the earliest time that PROTOCOL allows,
   /// which does not count as a crash: its pending responses are lost. If off, a router that does
@@ -50,7 +52,7 @@
   /// Starts all routers and waits until each is ready. On failure returns false and sets `error`.
   bool start_all(std::string& error);
   /// Schedules the faults of the day, relative to `origin`, and starts sampling resources.
-  void begin(Micros origin);
+  void start_day(Micros origin);
   /// Sends SIGTERM to all routers, waits for them to end, and kills those that do not.
   void stop_all();
   /// The last bytes of a router's log.
@@ -62,39 +64,41 @@
 
  private:
   struct Process {
-    net::Fd holder;  // a bound socket that reserves the port over restarts; never listens
+    net::Fd port_holder;  // a bound socket that reserves the port over restarts; never listens
     int port = 0;
     net::Fd config, log, operator_file;
     std::string operator_text;
     int pid = -1;
     std::size_t life = 0;
-    bool expected_end = false;
-    bool start_again = false;
-    bool cut_off = false;  // killed at the earliest allowed time
+    bool exit_expected = false;
+    bool restart = false;
+    bool killed_at_deadline = false;  // killed at the earliest allowed time
     Micros kill_at = 0;
   };
   void spawn(int router);
   std::string config_text(int router) const;
   std::string operator_text(int router) const;
-  bool answers(int router) const;
+  bool is_ready(int router) const;
   void reap();
-  void watch();
-  void sample();
-  bool operated() const { return !day_.routers.operator_text.empty() || !flight_.empty() || more_; }
-  void until_ready(int router, Micros since);
-  Micros ends_within() const;
+  void reap_periodically();
+  void sample_periodically();
+  bool has_operator_file() const {
+    return !day_.routers.operator_text.empty() || !flight_.empty() || extra_operator_text_;
+  }
+  void poll_until_ready(int router, Micros since);
+  Micros termination_timeout() const;
 
   kit::Loop& loop_;
   const Day& day_;
   std::uint64_t seed_;
   std::string program_, flight_;
-  std::function<std::string(int)> more_;
+  std::function<std::string(int)> extra_operator_text_;
   std::function<std::vector<std::string>(int)> environment_;
-  std::vector<Told> told_;
+  std::vector<DiscoveryInfo> discovery_;
   kit::History& history_;
-  std::function<void(int, bool)> changed_;
+  std::function<void(int, bool)> on_availability_change_;
   std::vector<Process> processes_;
-  std::uint64_t starts_ = 0;
+  std::uint64_t start_count_ = 0;
   bool crashed_ = false, ending_ = false, kill_at_earliest_ = false;
 };
 
--- a/src/kit/rehearse/tills.cpp
+++ b/src/kit/rehearse/tills.cpp
@@ -13,17 +13,16 @@
 using kit::Stream;
 using kit::TryEnd;
 
-constexpr std::size_t kMostLine = 4096, kMostValue = 128u << 10;
-constexpr Micros kTooLateToRetry =
-    20'000;  // no retry is sent with less time left until the deadline
-constexpr int kDirectConnections = 64;
+constexpr std::size_t kMaxLineBytes = 4096, kMaxValueBytes = 128u << 10;
+constexpr Micros kMinRetryTime = 20'000;  // no retry is sent with less time left until the deadline
+constexpr int kMaxDirectConnections = 64;
 
 }  // namespace
 
 /// A client connection with one request at a time, as real tills use them.
-class TillSide::Wire {
+class TillLoadGenerator::Connection {
  public:
-  Wire(TillSide& owner, int target, net::Fd fd)
+  Connection(TillLoadGenerator& owner, int target, net::Fd fd)
       : owner_(owner), target_(target), fd_(std::move(fd)) {
     event_base* base = owner_.loop_.base();
     read_.reset(event_new(base, fd_.get(), EV_READ | EV_PERSIST, on_read, this));
@@ -33,54 +32,58 @@
   int target() const { return target_; }
   bool used() const { return served_ > 0; }
 
-  void ask(std::uint64_t attempt, const std::string& id, std::string command) {
-    attempt_ = attempt;
+  void send_request(std::uint64_t try_index, const std::string& id, std::string command) {
+    try_index_ = try_index;
     busy_ = true;
     id_ = id;
     out_ = std::move(command);
     in_.clear();
-    push();
+    flush();
   }
   /// Closes the connection while its try is in progress: the till has stopped waiting.
   void abandon() {
     busy_ = false;
     owner_.drop(*this);
   }
-  void shut() {
+  void close() {
     read_.reset();
     write_.reset();
     fd_.reset();
   }
-  bool asks(std::uint64_t attempt) const { return busy_ && attempt_ == attempt; }
+  bool carries(std::uint64_t try_index) const { return busy_ && try_index_ == try_index; }
 
  private:
-  static void on_write(evutil_socket_t, short, void* self) { static_cast<Wire*>(self)->push(); }
-  static void on_read(evutil_socket_t, short, void* self) { static_cast<Wire*>(self)->pull(); }
-  kit::TryRecord& record() { return owner_.history_.tries[attempt_]; }
+  static void on_write(evutil_socket_t, short, void* self) {
+    static_cast<Connection*>(self)->flush();
+  }
+  static void on_read(evutil_socket_t, short, void* self) {
+    static_cast<Connection*>(self)->receive();
+  }
+  kit::TryRecord& record() { return owner_.history_.tries[try_index_]; }
 
-  void push() {
+  void flush() {
     while (!out_.empty()) {
       ssize_t put = ::send(fd_.get(), out_.data(), out_.size(), MSG_NOSIGNAL);
       if (put < 0 && (errno == EAGAIN || errno == EINPROGRESS || errno == ENOTCONN)) {
         event_add(write_.get(), nullptr);
         return;
       }
-      if (put <= 0) return end(record().kept_connection ? TryEnd::kClosed : TryEnd::kNoRouter);
+      if (put <= 0) return finish(record().kept_connection ? TryEnd::kClosed : TryEnd::kNoRouter);
       out_.erase(0, static_cast<std::size_t>(put));
     }
     if (busy_ && record().sent == 0) record().sent = owner_.loop_.now();
   }
 
-  void pull() {
+  void receive() {
     char bytes[16384];
     ssize_t got = ::recv(fd_.get(), bytes, sizeof bytes, 0);
     if (got < 0 && (errno == EAGAIN || errno == EINTR)) return;
     if (got <= 0) {
       if (!busy_) return owner_.drop(*this);
       // The router received nothing if the connection was never established.
-      return end(record().sent == 0 && !record().kept_connection ? TryEnd::kNoRouter
-                 : in_.empty()                                   ? TryEnd::kClosed
-                                                                 : TryEnd::kGarbled);
+      return finish(record().sent == 0 && !record().kept_connection ? TryEnd::kNoRouter
+                    : in_.empty()                                   ? TryEnd::kClosed
+                                                                    : TryEnd::kGarbled);
     }
     if (!busy_) {
       // Unexpected bytes after the final answer.
@@ -88,13 +91,13 @@
       return owner_.drop(*this);
     }
     in_.append(bytes, static_cast<std::size_t>(got));
-    take();
+    parse_answer();
   }
 
-  void take() {
+  void parse_answer() {
     std::size_t end_of_line = in_.find("\r\n");
     if (end_of_line == in_.npos) {
-      if (in_.size() > kMostLine) end(TryEnd::kGarbled);
+      if (in_.size() > kMaxLineBytes) finish(TryEnd::kGarbled);
       return;
     }
     std::string line = in_.substr(0, end_of_line);
@@ -107,15 +110,15 @@
     if (line.rfind("VA ", 0) == 0) {
       std::size_t length = 0;
       std::from_chars(line.data() + 3, line.data() + line.size(), length);
-      if (length > kMostValue || !has_own_id()) return end(TryEnd::kGarbled);
+      if (length > kMaxValueBytes || !has_own_id()) return finish(TryEnd::kGarbled);
       if (in_.size() < whole + length + 2) return;
-      if (in_.compare(whole + length, 2, "\r\n") != 0) return end(TryEnd::kGarbled);
+      if (in_.compare(whole + length, 2, "\r\n") != 0) return finish(TryEnd::kGarbled);
       record().value = kit::hash_of(std::string_view(in_).substr(whole, length));
       whole += length + 2;
       how = TryEnd::kServed;
     } else if (line.rfind("HD", 0) == 0) {
       std::size_t at = line.find(" c");
-      if (!has_own_id() || at == line.npos) return end(TryEnd::kGarbled);
+      if (!has_own_id() || at == line.npos) return finish(TryEnd::kGarbled);
       record().value = kit::hash_of(line.substr(at + 2, line.find(' ', at + 2) - at - 2));
       how = TryEnd::kServed;
     } else if (line.rfind("SERVER_ERROR busy", 0) == 0) {
@@ -128,39 +131,39 @@
     if (extra) record().extra = true;
     ++served_;
     busy_ = false;
-    std::uint64_t attempt = attempt_;
+    std::uint64_t try_index = try_index_;
     if (extra)
       owner_.drop(*this);
     else
       owner_.idle_[static_cast<std::size_t>(target_)].push_back(this);
-    owner_.ended(attempt, how);
+    owner_.ended(try_index, how);
   }
 
-  void end(TryEnd how) {
-    std::uint64_t attempt = attempt_;
+  void finish(TryEnd how) {
+    std::uint64_t try_index = try_index_;
     busy_ = false;
     owner_.drop(*this);
-    owner_.ended(attempt, how);
+    owner_.ended(try_index, how);
   }
 
-  TillSide& owner_;
+  TillLoadGenerator& owner_;
   int target_;
   net::Fd fd_;
   net::EventPtr read_, write_;
   std::string id_, in_, out_;
-  std::uint64_t attempt_ = 0, served_ = 0;
+  std::uint64_t try_index_ = 0, served_ = 0;
   bool busy_ = false;
 };
 
-TillSide::TillSide(kit::Loop& loop, const Day& day, const Plan& plan,
-                   std::vector<std::string> addresses, kit::History& history)
+TillLoadGenerator::TillLoadGenerator(kit::Loop& loop, const Day& day, const Plan& plan,
+                                     std::vector<std::string> addresses, kit::History& history)
     : loop_(loop),
       day_(day),
       plan_(plan),
       draws_(plan.seed),
       history_(history),
       alive_(day.routers.halls.size(), 1),
-      wires_(addresses.size()),
+      connections_(addresses.size()),
       idle_(addresses.size()) {
   for (const std::string& text : addresses) {
     auto address = net::parse_address(text);
@@ -170,19 +173,19 @@
   history_.tries.reserve(plan.requests.size() * 2);
 }
 
-TillSide::~TillSide() = default;
+TillLoadGenerator::~TillLoadGenerator() = default;
 
-void TillSide::start(Micros origin) {
+void TillLoadGenerator::start(Micros origin) {
   origin_ = origin;
   next_request();
 }
 
-void TillSide::next_request() {
-  if (next_ == plan_.requests.size()) return finish_if_done();
-  Micros at = origin_ + plan_.requests[next_].at;
+void TillLoadGenerator::next_request() {
+  if (next_index_ == plan_.requests.size()) return finish_if_done();
+  Micros at = origin_ + plan_.requests[next_index_].at;
   loop_.at(at, [this] {
-    std::uint64_t request = next_++;
-    ++open_;
+    std::uint64_t request = next_index_++;
+    ++open_requests_;
     Micros intended = origin_ + plan_.requests[request].at;
     lateness_.add(loop_.now() - intended);
     send(request, 0, intended);
@@ -190,7 +193,7 @@
   });
 }
 
-int TillSide::choose_router(std::uint64_t request, int number) const {
+int TillLoadGenerator::choose_router(std::uint64_t request, int number) const {
   int hall = plan_.requests[request].hall;
   std::vector<int> own, any;
   for (std::size_t r = 0; r < alive_.size(); ++r) {
@@ -204,20 +207,20 @@
               from.size()];
 }
 
-int TillSide::limit(int target) const {
+int TillLoadGenerator::max_connections(int target) const {
   int routers = static_cast<int>(alive_.size());
-  return target < routers ? std::max(day_.routers.sockets / 3, 8) : kDirectConnections;
+  return target < routers ? std::max(day_.routers.sockets / 3, 8) : kMaxDirectConnections;
 }
 
 /// An idle connection or a new one; nullptr if the limit of the tills or of the rig is reached.
-TillSide::Wire* TillSide::wire_to(int target) {
+TillLoadGenerator::Connection* TillLoadGenerator::connection_to(int target) {
   auto at = static_cast<std::size_t>(target);
   if (!idle_[at].empty()) {
-    Wire* wire = idle_[at].back();
+    Connection* connection = idle_[at].back();
     idle_[at].pop_back();
-    return wire;
+    return connection;
   }
-  if (static_cast<int>(wires_[at].size()) >= limit(target)) return nullptr;
+  if (static_cast<int>(connections_[at].size()) >= max_connections(target)) return nullptr;
   net::Fd fd(::socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC | SOCK_NONBLOCK, 0));
   if (!fd) {
     ++out_of_sockets_;
@@ -228,27 +231,27 @@
     if (errno == EADDRNOTAVAIL) ++out_of_sockets_;
     return nullptr;
   }
-  wires_[at].push_back(std::make_unique<Wire>(*this, target, std::move(fd)));
-  return wires_[at].back().get();
+  connections_[at].push_back(std::make_unique<Connection>(*this, target, std::move(fd)));
+  return connections_[at].back().get();
 }
 
-void TillSide::drop(Wire& wire) {
-  auto at = static_cast<std::size_t>(wire.target());
-  std::erase(idle_[at], &wire);
-  auto it =
-      std::find_if(wires_[at].begin(), wires_[at].end(), [&](auto& w) { return w.get() == &wire; });
-  if (it == wires_[at].end()) return;
-  wire.shut();
+void TillLoadGenerator::drop(Connection& connection) {
+  auto at = static_cast<std::size_t>(connection.target());
+  std::erase(idle_[at], &connection);
+  auto it = std::find_if(connections_[at].begin(), connections_[at].end(),
+                         [&](auto& w) { return w.get() == &connection; });
+  if (it == connections_[at].end()) return;
+  connection.close();
   dropped_.push_back(std::move(*it));
-  wires_[at].erase(it);
+  connections_[at].erase(it);
   if (dropped_.size() == 1) loop_.at(loop_.now(), [this] { dropped_.clear(); });
 }
 
-std::string TillSide::command_for(std::uint64_t request, int number, Micros wait) const {
+std::string TillLoadGenerator::command_for(std::uint64_t request, int number, Micros wait) const {
   const PlannedRequest& r = plan_.requests[request];
   const TillClass& type = day_.tills.classes[static_cast<std::size_t>(r.type)];
   std::string pairs = " O" + standin::request_id(request, number) + " Pc=" + type.name +
-                      ",t=" + day_.tills.banners[static_cast<std::size_t>(r.banner)].name +
+                      ",t=" + day_.tills.tenants[static_cast<std::size_t>(r.tenant)].name +
                       ",d=" + std::to_string(wait / 1000) + ",h=" + std::to_string(r.hint);
   if (!type.keyed) return "mg " + r.key + " v" + pairs + "\r\n";
   std::string value = "sale " + r.key;
@@ -256,7 +259,7 @@
          "\r\n" + value + "\r\n";
 }
 
-void TillSide::send(std::uint64_t request, int number, Micros intended) {
+void TillLoadGenerator::send(std::uint64_t request, int number, Micros intended) {
   const PlannedRequest& r = plan_.requests[request];
   const TillClass& type = day_.tills.classes[static_cast<std::size_t>(r.type)];
   int routers = static_cast<int>(alive_.size());
@@ -265,44 +268,44 @@
           ? routers + static_cast<int>(kit::hash_of(r.key) % (addresses_.size() - alive_.size()))
           : choose_router(request, number);
   Micros now = loop_.now();
-  Micros left = origin_ + r.at + type.gives_up - now;
+  Micros left = origin_ + r.at + type.deadline - now;
   kit::TryRecord record;
   record.request = request;
   record.number = number;
   record.router = std::min(target, routers);
   record.intended = intended;
-  record.wait = std::min(
-      left, static_cast<Micros>(day_.tills.try_share * static_cast<double>(type.gives_up)));
+  record.wait = std::min(left, static_cast<Micros>(day_.tills.try_timeout_fraction *
+                                                   static_cast<double>(type.deadline)));
   record.wait = std::max<Micros>(record.wait / 1000 * 1000, 1000);
-  std::uint64_t attempt = history_.tries.size();
+  std::uint64_t try_index = history_.tries.size();
   history_.tries.push_back(record);
   ++counts_.sent;
   if (number > 0) ++counts_.retries;
-  Wire* wire = target < 0 ? nullptr : wire_to(target);
-  if (!wire) return ended(attempt, TryEnd::kNoRouter);
-  history_.tries[attempt].kept_connection = wire->used();
+  Connection* connection = target < 0 ? nullptr : connection_to(target);
+  if (!connection) return ended(try_index, TryEnd::kNoRouter);
+  history_.tries[try_index].kept_connection = connection->used();
   auto at = static_cast<std::size_t>(target);
   // The till stops waiting after its attempt timeout plus the slack of the rules; an impatient one
   // leaves early.
-  auto look = [this, at, attempt](TryEnd how) {
-    for (auto& w : wires_[at])
-      if (w->asks(attempt)) {
+  auto leave_if_open = [this, at, try_index](TryEnd how) {
+    for (auto& w : connections_[at])
+      if (w->carries(try_index)) {
         w->abandon();
-        return ended(attempt, how);
+        return ended(try_index, how);
       }
   };
-  loop_.at(now + history_.tries[attempt].wait + day_.expect.answer_slack,
-           [look] { look(TryEnd::kSilent); });
+  loop_.at(now + history_.tries[try_index].wait + day_.expect.answer_slack,
+           [leave_if_open] { leave_if_open(TryEnd::kSilent); });
   if (draws_.uniform(Stream::kTill, request, 1000 + static_cast<std::uint64_t>(number)) <
-          day_.tills.impatient &&
+          day_.tills.early_leave_fraction &&
       !r.direct)
-    loop_.at(now + day_.tills.leaves_after, [look] { look(TryEnd::kLeft); });
-  wire->ask(attempt, standin::request_id(request, number),
-            command_for(request, number, history_.tries[attempt].wait));
+    loop_.at(now + day_.tills.early_leave_after, [leave_if_open] { leave_if_open(TryEnd::kLeft); });
+  connection->send_request(try_index, standin::request_id(request, number),
+                           command_for(request, number, history_.tries[try_index].wait));
 }
 
-void TillSide::ended(std::uint64_t attempt, TryEnd end) {
-  kit::TryRecord& record = history_.tries[attempt];
+void TillLoadGenerator::ended(std::uint64_t try_index, TryEnd end) {
+  kit::TryRecord& record = history_.tries[try_index];
   if (record.end != TryEnd::kOpen) return;
   Micros now = loop_.now();
   record.end = end;
@@ -312,20 +315,20 @@
   if (end == TryEnd::kServed) ++counts_.served;
   if (end == TryEnd::kRefused) ++counts_.refused;
   if (end != TryEnd::kServed && end != TryEnd::kRefused) ++counts_.failed;
-  Micros pause = std::max(day_.tills.retry_pause, record.retry_after);
-  Micros again = now + pause;
+  Micros pause = std::max(day_.tills.retry_backoff, record.retry_after);
+  Micros retry_at = now + pause;
   if (end == TryEnd::kServed || record.number >= day_.tills.retries || r.direct ||
-      again + kTooLateToRetry > origin_ + r.at + type.gives_up) {
-    --open_;
+      retry_at + kMinRetryTime > origin_ + r.at + type.deadline) {
+    --open_requests_;
     return finish_if_done();
   }
   std::uint64_t request = record.request;
   int number = record.number + 1;
-  loop_.at(again, [this, request, number, again] { send(request, number, again); });
+  loop_.at(retry_at, [this, request, number, retry_at] { send(request, number, retry_at); });
 }
 
-void TillSide::finish_if_done() {
-  if (next_ == plan_.requests.size() && open_ == 0) loop_.stop();
+void TillLoadGenerator::finish_if_done() {
+  if (next_index_ == plan_.requests.size() && open_requests_ == 0) loop_.stop();
 }
 
 }  // namespace violetusher::rehearse
--- a/src/kit/rehearse/tills.hpp
+++ b/src/kit/rehearse/tills.hpp
@@ -23,13 +23,13 @@
 };
 
 /// Sends the requests of a plan and records how each try ended.
-class TillSide {
+class TillLoadGenerator {
  public:
   /// `addresses`: the routers, then the price caches for direct requests. The plan and the day must
   /// outlive the object.
-  TillSide(kit::Loop& loop, const Day& day, const Plan& plan, std::vector<std::string> addresses,
-           kit::History& history);
-  ~TillSide();
+  TillLoadGenerator(kit::Loop& loop, const Day& day, const Plan& plan,
+                    std::vector<std::string> addresses, kit::History& history);
+  ~TillLoadGenerator();
 
   /// Starts sending; the day begins at `origin`. Stops the loop once the last try has ended.
   void start(Micros origin);
@@ -42,18 +42,18 @@
   const TillCounts& counts() const { return counts_; }
 
  private:
-  class Wire;
-  friend class Wire;
+  class Connection;
+  friend class Connection;
 
   void next_request();
   void send(std::uint64_t request, int number, Micros intended);
-  void ended(std::uint64_t attempt_index, kit::TryEnd end);
+  void ended(std::uint64_t try_index, kit::TryEnd end);
   void finish_if_done();
   int choose_router(std::uint64_t request, int number) const;
-  Wire* wire_to(int target);
-  void drop(Wire& wire);
+  Connection* connection_to(int target);
+  void drop(Connection& connection);
   std::string command_for(std::uint64_t request, int number, Micros wait) const;
-  int limit(int target) const;
+  int max_connections(int target) const;
 
   kit::Loop& loop_;
   const Day& day_;
@@ -63,11 +63,11 @@
   kit::History& history_;
   std::vector<char> alive_;
   Micros origin_ = 0;
-  std::size_t next_ = 0;
-  std::uint64_t open_ = 0;  // requests with a try in progress or waiting for a retry
-  std::vector<std::list<std::unique_ptr<Wire>>> wires_;  // by target
-  std::vector<std::vector<Wire*>> idle_;
-  std::vector<std::unique_ptr<Wire>> dropped_;
+  std::size_t next_index_ = 0;
+  std::uint64_t open_requests_ = 0;  // requests with a try in progress or waiting for a retry
+  std::vector<std::list<std::unique_ptr<Connection>>> connections_;  // by target
+  std::vector<std::vector<Connection*>> idle_;
+  std::vector<std::unique_ptr<Connection>> dropped_;
   kit::Lateness lateness_;
   std::uint64_t out_of_sockets_ = 0;
   TillCounts counts_;
--- a/src/kit/rehearse/toml_reader.hpp
+++ b/src/kit/rehearse/toml_reader.hpp
@@ -14,10 +14,10 @@
 namespace violetusher::rehearse {
 
 /// Throws DayError with the file, the line and `what`.
-[[noreturn]] void complain(const std::string& file, const toml::source_region& where,
-                           const std::string& what);
+[[noreturn]] void throw_error(const std::string& file, const toml::source_region& where,
+                              const std::string& what);
 
-/// Reads one table. `absent` is the default for a key that is not there; the overloads without it
+/// Reads one table. `default_value` is used for a key that is not there; the overloads without it
 /// require the key. All getters throw DayError for a value of another type or out of range.
 class TableReader {
  public:
@@ -29,29 +29,30 @@
   const toml::table& table() const { return table_; }
   const std::string& file() const { return file_; }
   /// Throws a DayError about the value of `key`, or about the table as a whole.
-  [[noreturn]] void bad(const char* key, const std::string& what) const;
-  [[noreturn]] void bad_here(const std::string& what) const;
+  [[noreturn]] void fail(const char* key, const std::string& what) const;
+  [[noreturn]] void fail_table(const std::string& what) const;
 
-  std::string text(const char* key, const std::string& absent);
+  std::string text(const char* key, const std::string& default_value);
   std::string text(const char* key);
-  Micros duration(const char* key, Micros absent);
+  Micros duration(const char* key, Micros default_value);
   Micros duration(const char* key);
-  double rate(const char* key, double absent);
-  std::uint64_t size(const char* key, std::uint64_t absent);
+  double rate(const char* key, double default_value);
+  std::uint64_t size(const char* key, std::uint64_t default_value);
   /// A fraction from 0 to 1, written as 0.05 or "5%".
-  double part(const char* key, double absent);
-  double number(const char* key, double absent, double low, double high);
-  std::int64_t integer(const char* key, std::int64_t absent, std::int64_t low, std::int64_t high);
-  bool flag(const char* key, bool absent);
+  double fraction(const char* key, double default_value);
+  double number(const char* key, double default_value, double low, double high);
+  std::int64_t integer(const char* key, std::int64_t default_value, std::int64_t low,
+                       std::int64_t high);
+  bool flag(const char* key, bool default_value);
   /// A string or a list of strings; empty when absent.
   std::vector<std::string> texts(const char* key);
   std::vector<double> numbers(const char* key);
   /// The array of tables `[[key]]`; empty when absent.
   std::vector<TableReader> tables(const char* key);
   /// The subtable `[key]`; an empty table when absent.
-  TableReader below(const char* key);
+  TableReader subtable(const char* key);
   /// Throws DayError for the first key that was never looked up.
-  void finish() const;
+  void reject_unknown_keys() const;
 
  private:
   /// Looks up `key` and marks it as known.
@@ -59,7 +60,7 @@
 
   const toml::table& table_;
   std::string file_, path_;
-  std::set<std::string> asked_;
+  std::set<std::string> known_keys_;
 };
 
 }  // namespace violetusher::rehearse
--- a/tests/kit/losses/losses_test.cpp
+++ b/tests/kit/losses/losses_test.cpp
@@ -64,7 +64,7 @@
   }
   Losses losses() const { return losses_of(day, plan, h); }
   double lost_to(Cause cause) const {
-    return losses().parts[static_cast<std::size_t>(cause)].worth;
+    return losses().by_cause[static_cast<std::size_t>(cause)].worth;
   }
   double worth() const { return day.tills.classes[0].worth * 1000; }
 };
@@ -84,13 +84,12 @@
     Cause cause;
   };
   for (const Case& c :
-       {Case{TryEnd::kRefused, -1, Cause::kUntried},
+       {Case{TryEnd::kRefused, -1, Cause::kNoAttempt},
         Case{TryEnd::kRefused, static_cast<int>(Answered::kBusy), Cause::kBusy},
-        Case{TryEnd::kRefused, static_cast<int>(Answered::kReset), Cause::kAttempt},
-        Case{TryEnd::kFailed, -1, Cause::kFailed}, Case{TryEnd::kLeft, -1, Cause::kLeft},
-        Case{TryEnd::kClosed, -1, Cause::kUnanswered},
-        Case{TryEnd::kSilent, -1, Cause::kUnanswered},
-        Case{TryEnd::kNoRouter, -1, Cause::kUnanswered}}) {
+        Case{TryEnd::kRefused, static_cast<int>(Answered::kReset), Cause::kAttemptFailed},
+        Case{TryEnd::kFailed, -1, Cause::kFailed}, Case{TryEnd::kLeft, -1, Cause::kClientLeft},
+        Case{TryEnd::kClosed, -1, Cause::kNoAnswer}, Case{TryEnd::kSilent, -1, Cause::kNoAnswer},
+        Case{TryEnd::kNoRouter, -1, Cause::kNoAnswer}}) {
     Fixture f;
     f.add_try(0, 0, 10'000, TryEnd::kFailed);
     f.add_attempt(0, 1'000, 5'000, 5'000, Answered::kBusy);  // of an earlier try: has no influence
@@ -107,17 +106,17 @@
   f.add_attempt(1, 110'000, 0, 150'000, Answered::kReset);
   f.add_attempt(1, 160'000, 300'000, 380'000, Answered::kServed);
   double lost = f.worth() * (1 - f.day.tills.classes[0].late_worth);
-  EXPECT_NEAR(f.lost_to(Cause::kTries), lost * 100 / 400, 1e-9);
+  EXPECT_NEAR(f.lost_to(Cause::kEarlierTries), lost * 100 / 400, 1e-9);
   EXPECT_NEAR(f.lost_to(Cause::kRouter), lost * (10 + 20) / 400, 1e-9);
-  EXPECT_NEAR(f.lost_to(Cause::kWasted), lost * 50 / 400, 1e-9);
+  EXPECT_NEAR(f.lost_to(Cause::kEarlierAttempts), lost * 50 / 400, 1e-9);
   EXPECT_NEAR(f.lost_to(Cause::kServer), lost * 140 / 400, 1e-9);
-  EXPECT_NEAR(f.lost_to(Cause::kBehind), lost * 80 / 400, 1e-9);
+  EXPECT_NEAR(f.lost_to(Cause::kHeadOfLine), lost * 80 / 400, 1e-9);
   f.h.attempts.back().missed = true;
   f.h.attempts.back().server = 1;  // in the other zone
   EXPECT_EQ(f.lost_to(Cause::kServer), 0);
   EXPECT_NEAR(f.lost_to(Cause::kMiss), lost * 140 / 400, 1e-9);
   EXPECT_EQ(f.lost_to(Cause::kRouter), 0);
-  EXPECT_NEAR(f.lost_to(Cause::kCrossing), lost * 30 / 400, 1e-9);
+  EXPECT_NEAR(f.lost_to(Cause::kRouterCrossZone), lost * 30 / 400, 1e-9);
 }
 
 /// For any history the causes add up to the total loss, and the service equals the verdict's.
@@ -149,7 +148,7 @@
   }
   Losses l = f.losses();
   double sum = 0;
-  for (const auto& part : l.parts) {
+  for (const auto& part : l.by_cause) {
     RC_ASSERT(part.worth >= 0);
     sum += part.worth;
   }
--- a/tests/kit/rehearse/day_test.cpp
+++ b/tests/kit/rehearse/day_test.cpp
@@ -206,7 +206,7 @@
       sum += gap, square += gap * gap;
     }
     part["c" + std::to_string(r.type)] += 1 / n;
-    part["b" + std::to_string(r.banner)] += 1 / n;
+    part["b" + std::to_string(r.tenant)] += 1 / n;
     part["h" + std::to_string(r.hall)] += 1 / n;
     EXPECT_EQ(r.idempotency.empty(), r.type == 0);
   }
--- a/tests/kit/rehearse/oracle_test.cpp
+++ b/tests/kit/rehearse/oracle_test.cpp
@@ -161,14 +161,14 @@
   f.h.attempts.push_back(f.h.attempts[2]);
   f.h.attempts.back().router = 1;  // sent directly by a till
   Verdict v = f.judged();
-  EXPECT_EQ(v.line.answers, 3u);
-  EXPECT_EQ(v.line.waited, 1u);
-  EXPECT_EQ(v.line.worst, 30'000);
-  EXPECT_EQ(v.line.total, 30'400);
-  ASSERT_EQ(v.line_by_server.size(), 2u);
-  EXPECT_EQ(v.line_by_server[0].total, 30'200);
-  EXPECT_EQ(v.line_by_server[1].total, 200);
-  EXPECT_EQ(v.line_by_router[0].answers, 3u);
+  EXPECT_EQ(v.head_of_line.answers, 3u);
+  EXPECT_EQ(v.head_of_line.waited, 1u);
+  EXPECT_EQ(v.head_of_line.worst, 30'000);
+  EXPECT_EQ(v.head_of_line.total, 30'400);
+  ASSERT_EQ(v.head_of_line_by_server.size(), 2u);
+  EXPECT_EQ(v.head_of_line_by_server[0].total, 30'200);
+  EXPECT_EQ(v.head_of_line_by_server[1].total, 200);
+  EXPECT_EQ(v.head_of_line_by_router[0].answers, 3u);
 }
 
 TEST(Oracle, TwoEffectsOfOneKeyedWriteAreFound) {
--- a/tests/kit/rehearse/saboteur.cpp
+++ b/tests/kit/rehearse/saboteur.cpp
@@ -29,7 +29,8 @@
 using Clock = std::chrono::steady_clock;
 using std::chrono::milliseconds;
 
-constexpr int kWarmMs = 9'000;  // a correct router sends nothing to a new price cache for this long
+constexpr int kSlowStartMs =
+    9'000;  // a correct router sends nothing to a new price cache for this long
 
 struct Cache {
   std::string id, dial;
@@ -40,7 +41,7 @@
 std::string mode;
 std::mutex mutex;
 std::vector<Cache> caches;
-std::atomic<int> asked{0};
+std::atomic<int> request_count{0};
 
 std::int64_t unix_ms() {
   return std::chrono::duration_cast<milliseconds>(
@@ -109,16 +110,16 @@
 
 std::string choose(const std::string& key) {
   std::lock_guard lock(mutex);
-  std::vector<const Cache*> fit;
+  std::vector<const Cache*> eligible;
   const Cache* youngest = nullptr;
   for (const Cache& c : caches) {
     if (!c.ready) continue;
     if (c.born_ms && (!youngest || c.born_ms > youngest->born_ms)) youngest = &c;
-    if (c.born_ms == 0 || unix_ms() - c.born_ms > kWarmMs) fit.push_back(&c);
+    if (c.born_ms == 0 || unix_ms() - c.born_ms > kSlowStartMs) eligible.push_back(&c);
   }
   if (mode == "push-cold" && youngest) return youngest->dial;
-  if (fit.empty()) return {};
-  return fit[std::hash<std::string>()(key) % fit.size()]->dial;
+  if (eligible.empty()) return {};
+  return eligible[std::hash<std::string>()(key) % eligible.size()]->dial;
 }
 
 /// One attempt: the complete answer of the price cache, or an empty string.
@@ -161,24 +162,25 @@
   if (mode == "null")
     return command.set ? "HD O" + command.id + " cnull\r\n"
                        : "VA 4 O" + command.id + "\r\nnull\r\n";
-  bool mine = asked++ % 20 == 19;  // the requests on which a rule is violated
+  bool affected = request_count++ % 20 == 19;  // the requests on which a rule is violated
   int limit = std::max(1, static_cast<int>(command.wait_ms) - 20);
-  if (mine && mode == "lose") return {};
-  if (mine && mode == "hold-back") {
+  if (affected && mode == "lose") return {};
+  if (affected && mode == "hold-back") {
     std::this_thread::sleep_for(milliseconds(std::max(0, limit - 20)));
     return "SERVER_ERROR busy\r\n";
   }
-  if (mine && mode == "crash") std::abort();
-  if (mine && mode == "after-answer" && !command.set) send_late(command);
+  if (affected && mode == "crash") std::abort();
+  if (affected && mode == "after-answer" && !command.set) send_late(command);
   std::string answer = attempt(command, limit);
-  if (mine && mode == "hold-after") {
+  if (affected && mode == "hold-after") {
     // Holds the answer back until just before the client's timeout.
     std::this_thread::sleep_for(milliseconds(std::max(0, limit - 60)));
     return "SERVER_ERROR busy\r\n";
   }
   if (answer.empty()) return "SERVER_ERROR failed\r\n";
-  if (mine && mode == "twice") answer += answer;
-  if (mine && mode == "wrong-value" && !command.set) return "VA 5 O" + command.id + "\r\nwrong\r\n";
+  if (affected && mode == "twice") answer += answer;
+  if (affected && mode == "wrong-value" && !command.set)
+    return "VA 5 O" + command.id + "\r\nwrong\r\n";
   if (mode == "repeat-sale" && command.set)
     std::thread([command] {
       std::this_thread::sleep_for(milliseconds(5'300));
