--- a/src/kit/rehearse/day.hpp
+++ b/src/kit/rehearse/day.hpp
@@ -60,7 +60,7 @@
   double zipf = 0.9;                   ///< exponent of the popularity of keys
   int retries = 2;                     ///< at most, for each request
   double try_timeout_fraction = 0.45;  ///< timeout of one try, as a fraction of the deadline
-  Micros retry_backoff = 30'000;
+  Micros retry_backoff = 30'000;       ///< pause before a retry
   double early_leave_fraction = 0.01;  ///< fraction of the tries that the till abandons early
   Micros early_leave_after = 60'000;   ///< when an abandoned try is closed
   double direct_fraction = 0;          ///< fraction of the reads sent straight to a price cache
@@ -68,6 +68,7 @@
   Micros failure_detection_delay = 2'000'000;
 };
 
+/// Restart by SIGTERM, SIGKILL and a later start, reload by SIGHUP, and SIGSTOP until SIGCONT.
 enum class RouterFaultKind { kRestart, kKill, kReload, kFreeze };
 
 /// A scheduled action on router processes.
@@ -83,9 +84,9 @@
   std::vector<int> halls;            ///< the zone of each router
   std::uint64_t memory = 64u << 20;  ///< memory limit in bytes
   int sockets = 512;                 ///< file descriptor limit
-  int max_attempts = 5;
-  bool retry_after = false;   ///< whether a refusal may name a time to retry after
-  std::string operator_text;  ///< contents of their operator file; empty = none
+  int max_attempts = 5;              ///< of one request
+  bool retry_after = false;          ///< whether a refusal may name a time to retry after
+  std::string operator_text;         ///< contents of their operator file; empty = none
 };
 
 /// A fault of the replicated ledger: at one router, or on the link from one router to another.
@@ -131,8 +132,8 @@
 
 /// Limits on the scheduling delay of the rig itself. Beyond them the result is inconclusive.
 struct RigBounds {
-  Micros late_p99 = 5'000, late_worst = 250'000;
-  Micros ready_within = 10'000'000;  ///< startup timeout of a router
+  Micros late_p99 = 5'000, late_worst = 250'000;  ///< of sent requests and of stand-in timers
+  Micros ready_within = 10'000'000;               ///< startup timeout of a router
 };
 
 /// An event of the day, as reports show it.
--- a/src/kit/rehearse/report.hpp
+++ b/src/kit/rehearse/report.hpp
@@ -33,8 +33,11 @@
   std::string headline() const;
 };
 
+/// The result for a terminal.
 std::string text_report(const Result& result);
+/// The result for other programs.
 std::string json_report(const Result& result);
+/// The result as one page with tables and plots.
 std::string html_report(const Result& result);
 /// The attempts that reached the stand-ins, as JSON lines for `flight merge --history`.
 std::string history_lines(const kit::History& history);
--- a/src/kit/rehearse/tills.hpp
+++ b/src/kit/rehearse/tills.hpp
@@ -45,10 +45,13 @@
   class Connection;
   friend class Connection;
 
+  /// Schedules the next request of the plan.
   void next_request();
   void send(std::uint64_t request, int number, Micros intended);
+  /// Records the end of a try, and schedules a retry if it was not served.
   void ended(std::uint64_t try_index, kit::TryEnd end);
   void finish_if_done();
+  /// A router that is up, in the request's zone if possible; -1 if there is none.
   int choose_router(std::uint64_t request, int number) const;
   Connection* connection_to(int target);
   void drop(Connection& connection);
--- a/src/kit/rehearse/toml_reader.hpp
+++ b/src/kit/rehearse/toml_reader.hpp
@@ -25,6 +25,7 @@
   TableReader(const toml::table& table, std::string file, std::string path)
       : table_(table), file_(std::move(file)), path_(std::move(path)) {}
 
+  /// Does not mark the key as known.
   bool has(const char* key) const { return table_.contains(key); }
   const toml::table& table() const { return table_; }
   const std::string& file() const { return file_; }
