--- a/src/kit/common/files.hpp
+++ b/src/kit/common/files.hpp
@@ -1,12 +1,13 @@
-// Files that others read while they are written.
+// Atomic replacement of files that other processes may be reading.
 #pragma once
 
 #include <string>
 
 namespace violetusher::kit {
 
-/// Writes `text` beside `path` and renames it: nothing half-written is ever taken for a result.
-/// False, with nothing changed, where the folder can't be written or the disk is full.
+/// Writes `text` to a temporary file beside `path` and renames it, so that readers never see a
+/// partial file. False, with `path` unchanged, where the folder is not writable or the disk is
+/// full.
 bool write_whole(const std::string& path, const std::string& text);
 
 }  // namespace violetusher::kit
--- a/src/kit/common/ledger_faults.hpp
+++ b/src/kit/common/ledger_faults.hpp
@@ -1,5 +1,5 @@
-// The names of what can be done to a fleet's ledger: in a day's events ("ledger-cut"), in written
-// schedules and in reports.
+// Names of the faults that can be injected into a fleet's ledger, as used in a day's events
+// ("ledger-cut"), in schedule files and in reports.
 #pragma once
 
 #include <cstddef>
@@ -13,12 +13,14 @@
     "shuffle", "spoil",     "lose-disk",  "old-disk",   "rolled-back", "spoil-disk", "full-disk",
     "clock",   "slow-disk", "read-error", "power-loss", "reset",       "rate"};
 
-/// Those of a link, from one router to another, and those that say how long or how late.
+/// Faults of a link from one router to another.
 inline constexpr std::string_view kLinkFaults[] = {"cut",   "slow",  "shuffle",
                                                    "spoil", "reset", "rate"};
+/// Faults that take a duration or a delay.
 inline constexpr std::string_view kTimedFaults[] = {"slow",  "old-disk",  "rolled-back",
                                                     "clock", "slow-disk", "read-error"};
 
+/// Whether `word` is one of `words`.
 template <std::size_t n>
 constexpr bool has_word(const std::string_view (&words)[n], std::string_view word) {
   for (std::string_view w : words)
--- a/src/kit/common/loop.cpp
+++ b/src/kit/common/loop.cpp
@@ -7,7 +7,7 @@
 namespace violetusher::kit {
 namespace {
 
-constexpr Micros kLook = 50'000;  // how often a loop looks whether it was asked to stop
+constexpr Micros kLook = 50'000;  // between checks for a stop request
 
 }  // namespace
 
@@ -47,7 +47,7 @@
 }
 
 void Loop::at(Micros at, std::function<void()> task) {
-  at = std::max(at, now());  // what was due before it was set is not the loop's lateness
+  at = std::max(at, now());  // a time in the past must not count as lateness of the loop
   timers_.push({at, order_++, std::move(task)});
   if (!ringing_ && (armed_ == 0 || at < armed_)) arm();
 }
@@ -68,7 +68,7 @@
 void Loop::ring() {
   ringing_ = true;
   if (asked_) stop();
-  // What a task sets for now or earlier runs in the next turn, so that sockets get theirs.
+  // Tasks that are added for now or earlier run in the next iteration, after the socket events.
   Micros now = clock_.now();
   while (!stopped_ && !timers_.empty() && timers_.top().at <= now) {
     Timer timer = std::move(const_cast<Timer&>(timers_.top()));
--- a/src/kit/common/loop.hpp
+++ b/src/kit/common/loop.hpp
@@ -1,4 +1,4 @@
-// One event loop with timers that run functions and a record of how late they ran.
+// An event loop with timers that run functions, which records how late they ran.
 #pragma once
 
 #include <atomic>
@@ -10,13 +10,13 @@
 
 namespace violetusher::kit {
 
-/// How late the rig itself was, in microseconds. Bounded: a logarithmic histogram.
+/// Logarithmic histogram, of fixed size, of how late the test rig itself was, in microseconds.
 class Lateness {
  public:
   void add(Micros late);
   std::uint64_t count() const { return count_; }
   Micros worst() const { return worst_; }
-  /// The upper edge of the bucket that holds the quantile `q`; buckets grow by an eighth.
+  /// Upper bound of the bucket that holds the quantile `q`; each bucket is an eighth wider.
   Micros quantile(double q) const;
   void merge(const Lateness& other);
 
@@ -27,24 +27,24 @@
   Micros worst_ = 0;
 };
 
-/// Not safe for use from several threads but for wake().
+/// Not thread-safe, except for stop_from_outside().
 class Loop {
  public:
   explicit Loop(const net::Clock& clock);
   event_base* base() const { return base_.get(); }
   Micros now() const { return clock_.now(); }
-  /// Runs `task` at `at` or as soon after as the loop can.
+  /// Runs `task` at `at`, or as soon after it as the loop can.
   void at(Micros at, std::function<void()> task);
-  /// Runs until stop() was called from within.
+  /// Runs until a task calls stop() or stop_from_outside() takes effect.
   void run();
   void stop() {
     stopped_ = true;
     event_base_loopbreak(base_.get());
   }
-  /// Ends the loop from another thread or a signal handler.
+  /// Stops the loop within 50 ms; may be called from another thread or a signal handler.
   void stop_from_outside() { asked_ = true; }
   const Lateness& lateness() const { return lateness_; }
-  /// What was late before does not count: the loop was not running yet.
+  /// Discards the lateness so far, which stems from the time before the loop ran.
   void forget_lateness() { lateness_ = Lateness(); }
 
  private:
--- a/src/kit/common/random.hpp
+++ b/src/kit/common/random.hpp
@@ -1,5 +1,5 @@
-// Counter-based random draws: each is a function of (seed, stream, index), never of the order in
-// which draws are made, so a seed names a whole day to the request.
+// Counter-based random draws: each is a function of (seed, stream, index) and not of the order of
+// the draws, so a seed determines a whole day down to each request.
 #pragma once
 
 #include <cmath>
@@ -12,7 +12,8 @@
 
 namespace violetusher::kit {
 
-/// What a draw is for. The numbers are part of what a seed means: never reuse or renumber one.
+/// Purpose of a draw. A seed gives the same day only with the same numbers, so they are never
+/// reused or changed.
 enum class Stream : std::uint64_t {
   kArrival = 1,
   kClass = 2,
@@ -31,11 +32,12 @@
   kRouterSeed = 30,
 };
 
-/// Hash of text; stable over machines and runs (XXH3, 64 bits).
+/// Hash of `text` (XXH3, 64 bits), the same on all machines and in all runs.
 inline std::uint64_t hash_of(std::string_view text, std::uint64_t seed = 0) {
   return XXH3_64bits_withSeed(text.data(), text.size(), seed);
 }
 
+/// Random draws of one seed.
 class Draws {
  public:
   explicit Draws(std::uint64_t seed = 0) : seed_(seed) {}
@@ -45,15 +47,15 @@
     const std::uint64_t words[3] = {static_cast<std::uint64_t>(stream), index, sub};
     return XXH3_64bits_withSeed(words, sizeof words, seed_);
   }
-  /// In [0, 1), 53 bits.
+  /// Uniform in [0, 1), with 53 random bits.
   double uniform(Stream stream, std::uint64_t index, std::uint64_t sub = 0) const {
     return static_cast<double>(bits(stream, index, sub) >> 11) * 0x1p-53;
   }
-  /// Mean 1.
+  /// Exponential with mean 1.
   double exponential(Stream stream, std::uint64_t index, std::uint64_t sub = 0) const {
     return -std::log1p(-uniform(stream, index, sub));
   }
-  /// Log-normal of mean 1; `sigma` of the logarithm. Box-Muller on two draws.
+  /// Log-normal with mean 1; `sigma` is the deviation of the logarithm. Box-Muller on two draws.
   double lognormal(double sigma, Stream stream, std::uint64_t index) const {
     double u = uniform(stream, index, 1), v = uniform(stream, index, 2);
     double z = std::sqrt(-2 * std::log1p(-u)) * std::cos(6.283185307179586 * v);
@@ -64,7 +66,7 @@
   std::uint64_t seed_;
 };
 
-/// Ranks 0 to n-1 with probability in proportion to 1 / (rank + 1)^s.
+/// Zipf distribution of ranks 0 to n-1: probability proportional to 1 / (rank + 1)^s.
 class Zipf {
  public:
   Zipf(std::size_t n, double s) : cumulative_(n) {
--- a/src/kit/common/svg.cpp
+++ b/src/kit/common/svg.cpp
@@ -21,7 +21,7 @@
          "\" y=\"16\" class=\"title\">" + escaped(title) + "</text>";
 }
 
-/// A round step that cuts `span` into about `parts`.
+/// A step of 1, 2, 5 or 10 times a power of ten that divides `span` into about `parts` steps.
 double round_step(double span, double parts) {
   double raw = std::max(span, 1e-9) / parts, power = std::pow(10, std::floor(std::log10(raw)));
   for (double factor : {1.0, 2.0, 5.0, 10.0})
@@ -159,7 +159,7 @@
       double value = map.rows[r].second[k];
       double x = kLeft + cell * static_cast<double>(k);
       if (value < 0 || x >= kWidth - kRight) continue;
-      // One hue from pale to dark, so that it reads in grey as well.
+      // One hue from light to dark, so that the map is readable in greyscale too.
       double part = std::clamp(value, 0.0, 1.0);
       svg += "<rect x=\"" + number(x) + "\" y=\"" + number(y) + "\" width=\"" + number(cell + 0.3) +
              "\" height=\"" + number(row - 1) + "\" fill=\"hsl(" + number(40 - 30 * part, "%.0f") +
--- a/src/kit/common/units.cpp
+++ b/src/kit/common/units.cpp
@@ -9,7 +9,7 @@
 namespace violetusher::kit {
 namespace {
 
-/// The number before a unit of `units`, times what the unit stands for.
+/// Parses a number followed by one of `units` and multiplies it by the factor of the unit.
 std::optional<double> with_unit(std::string_view text,
                                 std::initializer_list<std::pair<std::string_view, double>> units) {
   double value = 0;
--- a/tests/kit/common/common_test.cpp
+++ b/tests/kit/common/common_test.cpp
@@ -1,4 +1,4 @@
-// Draws, units, lateness and plots.
+// Tests random draws, units, the event loop, plots and the history.
 #include <gtest/gtest.h>
 #include <rapidcheck/gtest.h>
 
@@ -39,7 +39,7 @@
     exponential += draws.exponential(Stream::kArrival, static_cast<std::uint64_t>(k));
     lognormal += draws.lognormal(0.35, Stream::kWork, static_cast<std::uint64_t>(k));
   }
-  // Five standard errors of each; the seed is fixed, so this never changes from run to run.
+  // Five standard errors of each mean; the seed is fixed, so every run gives the same result.
   EXPECT_NEAR(uniform / n, 0.5, 5 * 0.2887 / std::sqrt(n));
   EXPECT_NEAR(exponential / n, 1, 5 / std::sqrt(n));
   EXPECT_NEAR(lognormal / n, 1, 5 * 0.37 / std::sqrt(n));
