--- a/src/kit/common/loop.cpp
+++ b/src/kit/common/loop.cpp
@@ -7,7 +7,7 @@
 namespace violetusher::kit {
 namespace {
 
-constexpr Micros kLook = 50'000;  // between checks for a stop request
+constexpr Micros kStopCheckInterval = 50'000;  // between checks for a stop request
 
 }  // namespace
 
@@ -49,12 +49,13 @@
 void Loop::at(Micros at, std::function<void()> task) {
   at = std::max(at, now());  // a time in the past must not count as lateness of the loop
   timers_.push({at, order_++, std::move(task)});
-  if (!ringing_ && (armed_ == 0 || at < armed_)) arm();
+  if (!running_timers_ && (armed_ == 0 || at < armed_)) arm();
 }
 
 void Loop::arm() {
   Micros now = clock_.now();
-  Micros due = timers_.empty() ? now + kLook : std::min(timers_.top().at, now + kLook);
+  Micros due = timers_.empty() ? now + kStopCheckInterval
+                               : std::min(timers_.top().at, now + kStopCheckInterval);
   armed_ = due;
   timeval wait = net::timeval_of(std::max<Micros>(due - now, 0));
   event_add(timer_.get(), &wait);
@@ -62,12 +63,12 @@
 
 void Loop::on_timer(evutil_socket_t, short, void* self) {
   auto* loop = static_cast<Loop*>(self);
-  loop->ring();
+  loop->run_due_timers();
 }
 
-void Loop::ring() {
-  ringing_ = true;
-  if (asked_) stop();
+void Loop::run_due_timers() {
+  running_timers_ = true;
+  if (stop_requested_) stop();
   // Tasks that are added for now or earlier run in the next iteration, after the socket events.
   Micros now = clock_.now();
   while (!stopped_ && !timers_.empty() && timers_.top().at <= now) {
@@ -76,7 +77,7 @@
     lateness_.add(clock_.now() - timer.at);
     timer.task();
   }
-  ringing_ = false;
+  running_timers_ = false;
   armed_ = 0;
   if (!stopped_) arm();
 }
--- a/src/kit/common/loop.hpp
+++ b/src/kit/common/loop.hpp
@@ -42,10 +42,10 @@
     event_base_loopbreak(base_.get());
   }
   /// Stops the loop within 50 ms; may be called from another thread or a signal handler.
-  void stop_from_outside() { asked_ = true; }
+  void stop_from_outside() { stop_requested_ = true; }
   const Lateness& lateness() const { return lateness_; }
   /// Discards the lateness so far, which stems from the time before the loop ran.
-  void forget_lateness() { lateness_ = Lateness(); }
+  void reset_lateness() { lateness_ = Lateness(); }
 
  private:
   struct Timer {
@@ -55,7 +55,7 @@
     bool operator>(const Timer& o) const { return at != o.at ? at > o.at : order > o.order; }
   };
   static void on_timer(evutil_socket_t, short, void* self);
-  void ring();
+  void run_due_timers();
   void arm();
 
   const net::Clock& clock_;
@@ -64,8 +64,8 @@
   std::priority_queue<Timer, std::vector<Timer>, std::greater<Timer>> timers_;
   std::uint64_t order_ = 0;
   Micros armed_ = 0;
-  bool ringing_ = false, stopped_ = false;
-  std::atomic<bool> asked_{false};
+  bool running_timers_ = false, stopped_ = false;
+  std::atomic<bool> stop_requested_{false};
   Lateness lateness_;
 };
 
--- a/src/kit/standin/connection.cpp
+++ b/src/kit/standin/connection.cpp
@@ -15,10 +15,11 @@
 
 using kit::Answered;
 
-constexpr std::size_t kReadAtOnce = 16u << 10;
-constexpr std::size_t kMostOut = 4u << 20;  // unread output bytes before the connection is closed
-constexpr std::size_t kMostWaiting = 4096;  // unanswered commands of one connection
-constexpr std::size_t kMostArrivals =
+constexpr std::size_t kReadChunkBytes = 16u << 10;
+constexpr std::size_t kMaxOutputBytes =
+    4u << 20;  // unread output bytes before the connection is closed
+constexpr std::size_t kMaxPendingCommands = 4096;  // unanswered commands of one connection
+constexpr std::size_t kMaxArrivalMarks =
     4096;  // marks while cut off; later bytes are added to the last mark
 
 void require(bool good, const char* what) {
@@ -58,40 +59,40 @@
   return fd;
 }
 
-std::vector<net::Fd> Address::plug(int listener) const {
+std::vector<net::Fd> Address::fill_backlog(int listener) const {
   // A backlog of 0 holds one connection; once it is full the kernel drops further SYNs.
   ::listen(listener, 0);
-  std::vector<net::Fd> plugs;
+  std::vector<net::Fd> backlog_connections;
   for (int k = 0; k < 2; ++k) {
     net::Fd fd(::socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC | SOCK_NONBLOCK, 0));
     if (!fd) break;
     ::connect(fd.get(), reinterpret_cast<const sockaddr*>(&address_), sizeof address_);
-    plugs.push_back(std::move(fd));
+    backlog_connections.push_back(std::move(fd));
   }
-  return plugs;
+  return backlog_connections;
 }
 
 // ---- arrivals ----
 
-void Arrivals::note(std::uint64_t waiting, Micros now) {
+void ArrivalTimes::record(std::uint64_t waiting, Micros now) {
   std::uint64_t end = read_ + waiting;
   if (end <= (marks_.empty() ? read_ : marks_.back().end)) return;
-  if (marks_.size() >= kMostArrivals)
+  if (marks_.size() >= kMaxArrivalMarks)
     marks_.back().end = end;
   else
     marks_.push_back({end, now});
 }
 
-void Arrivals::consume(std::uint64_t count) {
+void ArrivalTimes::consume(std::uint64_t count) {
   read_ += count;
   while (!marks_.empty() && marks_.front().end <= read_) marks_.pop_front();
 }
 
 // ---- connections ----
 
-Connection::Connection(PriceCache& owner, net::Fd fd, int router, bool turned_away,
+Connection::Connection(PriceCache& owner, net::Fd fd, int router, bool rejected,
                        Micros silent_since)
-    : owner_(owner), fd_(std::move(fd)), router_(router), turned_away_(turned_away) {
+    : owner_(owner), fd_(std::move(fd)), router_(router), rejected_(rejected) {
   event_base* base = owner_.shared_.loop.base();
   read_.reset(event_new(base, fd_.get(), EV_READ | EV_PERSIST, on_read, this));
   write_.reset(event_new(base, fd_.get(), EV_WRITE, on_write, this));
@@ -101,7 +102,7 @@
   used_ = owner_.shared_.loop.now();
   int waiting = 0;
   if (silent_since && ::ioctl(fd_.get(), FIONREAD, &waiting) == 0)
-    arrivals_.note(static_cast<std::uint64_t>(waiting), silent_since);
+    arrivals_.record(static_cast<std::uint64_t>(waiting), silent_since);
 }
 
 void Connection::set_silent(bool silent) {
@@ -109,31 +110,31 @@
   if (silent) {
     event_del(read_.get());
     event_del(write_.get());
-    note_arrivals();
+    record_arrivals();
     event_add(arrival_.get(), nullptr);
   } else {
-    note_arrivals();
+    record_arrivals();
     event_del(arrival_.get());
     event_add(read_.get(), nullptr);
     // Answers that were made during the cut could not be sent. That wait is due to the cut, not to
     // head-of-line blocking, so it is left out of the record.
     for (auto& exchange : waiting_)
-      if (exchange->done && exchange->attempt != kNoRecord)
+      if (exchange->done && exchange->attempt != kNoAttempt)
         owner_.record(*exchange).made = owner_.shared_.loop.now();
     flush();
   }
 }
 
-void Connection::note_arrivals() {
+void Connection::record_arrivals() {
   int waiting = 0;
   if (::ioctl(fd_.get(), FIONREAD, &waiting) == 0)
-    arrivals_.note(static_cast<std::uint64_t>(waiting), owner_.shared_.loop.now());
+    arrivals_.record(static_cast<std::uint64_t>(waiting), owner_.shared_.loop.now());
 }
 
-void Connection::shut(bool reset, bool booked) {
+void Connection::terminate(bool reset, bool record_end) {
   Micros now = owner_.shared_.loop.now();
   auto end = [&](std::size_t attempt) {
-    if (attempt == kNoRecord || !booked) return;
+    if (attempt == kNoAttempt || !record_end) return;
     auto& record = owner_.shared_.history.attempts[attempt];
     if (record.ended != 0) return;
     record.ended = now;
@@ -142,7 +143,7 @@
     else
       record.left = true;
   };
-  for (const Leaving& answer : leaving_) end(answer.attempt);
+  for (const OutgoingAnswer& answer : outgoing_) end(answer.attempt);
   for (auto& exchange : waiting_) {
     end(exchange->attempt);
     owner_.shared_.exchanges.erase(exchange->token);
@@ -158,7 +159,7 @@
   fd_.reset();
 }
 
-void Connection::begin_some() {
+void Connection::start_pending() {
   int out = 0;
   for (auto& exchange : waiting_) {
     if (!fd_) return;  // the previous command made the price cache collapse
@@ -177,7 +178,7 @@
   while (!waiting_.empty() && waiting_.front()->done) {
     Exchange& front = *waiting_.front();
     out_ += front.text;
-    leaving_.push_back({written_ + out_.size(), front.attempt, front.how});
+    outgoing_.push_back({written_ + out_.size(), front.attempt, front.how});
     owner_.shared_.exchanges.erase(front.token);
     waiting_.pop_front();
   }
@@ -185,7 +186,7 @@
   while (!out_.empty()) {
     ssize_t put = ::send(fd_.get(), out_.data(), out_.size(), MSG_NOSIGNAL);
     if (put <= 0) {
-      if (put < 0 && (errno == EAGAIN || errno == EINTR) && out_.size() < kMostOut) {
+      if (put < 0 && (errno == EAGAIN || errno == EINTR) && out_.size() < kMaxOutputBytes) {
         event_add(write_.get(), nullptr);
         return true;
       }
@@ -195,18 +196,18 @@
     out_.erase(0, static_cast<std::size_t>(put));
     written_ += static_cast<std::uint64_t>(put);
     // An answer counts from here: the peer cannot know of it before it is written.
-    for (; !leaving_.empty() && leaving_.front().end <= written_; leaving_.pop_front()) {
-      if (leaving_.front().attempt == kNoRecord) continue;
-      auto& record = owner_.shared_.history.attempts[leaving_.front().attempt];
+    for (; !outgoing_.empty() && outgoing_.front().end <= written_; outgoing_.pop_front()) {
+      if (outgoing_.front().attempt == kNoAttempt) continue;
+      auto& record = owner_.shared_.history.attempts[outgoing_.front().attempt];
       record.ended = used_;
-      record.answered = leaving_.front().how;
+      record.answered = outgoing_.front().how;
     }
   }
   if (close_after_ && waiting_.empty()) {
     owner_.close(*this, false);
     return false;
   }
-  begin_some();
+  start_pending();
   return true;
 }
 
@@ -215,35 +216,35 @@
 }
 
 void Connection::on_arrival(evutil_socket_t, short, void* self) {
-  static_cast<Connection*>(self)->note_arrivals();
+  static_cast<Connection*>(self)->record_arrivals();
 }
 
 void Connection::on_read(evutil_socket_t, short, void* self) {
   auto* c = static_cast<Connection*>(self);
-  char bytes[kReadAtOnce];
+  char bytes[kReadChunkBytes];
   ssize_t got = ::recv(c->fd_.get(), bytes, sizeof bytes, 0);
   if (got < 0 && (errno == EAGAIN || errno == EINTR)) return;
-  if (got <= 0) return c->peer_left();
-  c->take({bytes, static_cast<std::size_t>(got)});
+  if (got <= 0) return c->on_peer_closed();
+  c->on_input({bytes, static_cast<std::size_t>(got)});
 }
 
-void Connection::peer_left() {
+void Connection::on_peer_closed() {
   if (owner_.shared_.spec.drop_gone_work)
     for (auto& exchange : waiting_) owner_.station_.drop(exchange->token);
   owner_.close(*this, false);
 }
 
-void Connection::take(std::string_view in) {
+void Connection::on_input(std::string_view in) {
   Micros now = owner_.shared_.loop.now();
   used_ = now;
   while (!in.empty()) {
-    if (!reader_.in_command()) first_byte_ = arrivals_.of_next(now);
+    if (!reader_.in_command()) first_byte_ = arrivals_.next_arrival(now);
     std::size_t before = in.size();
     auto exchange = next_exchange(in, first_byte_);
     arrivals_.consume(before - in.size());
     if (!exchange) break;
     waiting_.push_back(std::move(exchange));
-    if (close_after_ || waiting_.size() > kMostWaiting) {
+    if (close_after_ || waiting_.size() > kMaxPendingCommands) {
       close_after_ = true;
       event_del(read_.get());
       break;
@@ -254,7 +255,7 @@
 
 /// The next complete command of `in`, recorded as received at `came`; null where none is complete.
 std::unique_ptr<Exchange> Connection::next_exchange(std::string_view& in, Micros came) {
-  Shared& shared = owner_.shared_;
+  FleetState& shared = owner_.shared_;
   Micros now = shared.loop.now();
   protocol::Command command;
   auto got = reader_.take(in, command);
--- a/src/kit/standin/connection.hpp
+++ b/src/kit/standin/connection.hpp
@@ -17,14 +17,14 @@
 class Connection;
 
 /// The `attempt` of an exchange without a record: a no-op or a line that cannot be parsed.
-constexpr std::size_t kNoRecord = ~std::size_t{0};
+constexpr std::size_t kNoAttempt = ~std::size_t{0};
 
 /// One command and its answer while a price cache processes it.
 struct Exchange {
   std::uint64_t token = 0;
   Connection* connection = nullptr;
   protocol::Command command;
-  std::size_t attempt = kNoRecord;  ///< index into History::attempts
+  std::size_t attempt = kNoAttempt;  ///< index into History::attempts
   Micros arrived = 0, begun = 0;
   bool handshake = false;  ///< the first command of its connection
   bool done = false;       ///< `text` is complete
@@ -43,7 +43,7 @@
   net::Fd listen(int backlog) const;
   /// Fills the backlog of `listener`, so that new connections are neither established nor refused.
   /// The connections that fill it close when the result is destroyed.
-  std::vector<net::Fd> plug(int listener) const;
+  std::vector<net::Fd> fill_backlog(int listener) const;
 
  private:
   net::Fd holder_;
@@ -52,12 +52,12 @@
 
 /// Records when unread bytes arrived in the kernel's receive buffer. A price cache that is cut off
 /// reads nothing, so the bytes it reads afterwards may have been sent long before.
-class Arrivals {
+class ArrivalTimes {
  public:
   /// Records that `waiting` bytes are unread at `now`.
-  void note(std::uint64_t waiting, Micros now);
+  void record(std::uint64_t waiting, Micros now);
   /// Arrival time of the next byte to be read; `now` where none was recorded.
-  Micros of_next(Micros now) const { return marks_.empty() ? now : marks_.front().at; }
+  Micros next_arrival(Micros now) const { return marks_.empty() ? now : marks_.front().at; }
   /// Records that `count` bytes were read.
   void consume(std::uint64_t count);
 
@@ -75,21 +75,22 @@
  public:
   /// `silent_since`: when the cut began that the listener has just come out of, which is the
   /// earliest time at which the bytes in the buffer may have been sent; 0 where there was no cut.
-  Connection(PriceCache& owner, net::Fd fd, int router, bool turned_away, Micros silent_since);
+  Connection(PriceCache& owner, net::Fd fd, int router, bool rejected, Micros silent_since);
 
   int router() const { return router_; }
   PriceCache& owner() const { return owner_; }
   bool idle_since(Micros at) const {
     return waiting_.empty() && used_ < at && !reader_.in_command();
   }
-  bool turned_away() const { return turned_away_; }
+  bool rejected() const { return rejected_; }
   /// While silent, the connection reads and writes nothing, but records when bytes arrive.
   void set_silent(bool silent);
   /// Closes the connection at once; with `reset` the peer sees a reset. Records the end of its
-  /// unanswered attempts, unless `booked` is false: attempts open at the end of a day stay open.
-  void shut(bool reset, bool booked);
+  /// unanswered attempts, unless `record_end` is false: attempts open at the end of a day stay
+  /// open.
+  void terminate(bool reset, bool record_end);
   /// Starts waiting commands, up to the stream limit of a connection.
-  void begin_some();
+  void start_pending();
   /// Writes complete answers to the socket, in order. False where the connection was closed.
   bool flush();
   void close_after_answers() { close_after_ = true; }
@@ -98,13 +99,13 @@
   static void on_write(evutil_socket_t, short, void* self);
   static void on_read(evutil_socket_t, short, void* self);
   static void on_arrival(evutil_socket_t, short, void* self);
-  void note_arrivals();
-  void peer_left();
-  void take(std::string_view in);
+  void record_arrivals();
+  void on_peer_closed();
+  void on_input(std::string_view in);
   std::unique_ptr<Exchange> next_exchange(std::string_view& in, Micros came);
 
   /// An answer, or the rest of one, in `out_`: it counts as given once its last byte is written.
-  struct Leaving {
+  struct OutgoingAnswer {
     std::uint64_t end;  // offset of its end in the bytes written on the connection
     std::size_t attempt;
     kit::Answered how;
@@ -116,12 +117,12 @@
   net::EventPtr read_, write_, arrival_;
   protocol::CommandReader reader_;
   std::deque<std::unique_ptr<Exchange>> waiting_;
-  std::deque<Leaving> leaving_;
+  std::deque<OutgoingAnswer> outgoing_;
   std::string out_;
   std::uint64_t written_ = 0;
-  Arrivals arrivals_;
+  ArrivalTimes arrivals_;
   Micros first_byte_ = 0, used_ = 0;
-  bool first_ = true, silent_ = false, close_after_ = false, turned_away_;
+  bool first_ = true, silent_ = false, close_after_ = false, rejected_;
 };
 
 }  // namespace violetusher::standin
--- a/src/kit/standin/discovery.cpp
+++ b/src/kit/standin/discovery.cpp
@@ -15,11 +15,11 @@
 namespace violetusher::standin {
 namespace {
 
-constexpr std::size_t kMostCalls = 1024;      // queue length; further calls fail
-constexpr Micros kLongestWatch = 60'000'000;  // of PROTOCOL
-constexpr Micros kTick = 50'000;              // between updates of the notification times
+constexpr std::size_t kMaxQueuedCalls = 1024;     // queue length; further calls fail
+constexpr Micros kMaxWatchWait = 60'000'000;      // of PROTOCOL
+constexpr Micros kNotificationInterval = 50'000;  // between updates of the notification times
 
-const char* word_of(Health health) {
+const char* health_name(Health health) {
   switch (health) {
     case Health::Ready:
       return "active";
@@ -35,62 +35,62 @@
 
 DiscoveryStandin::DiscoveryStandin(kit::Loop& loop, const FleetSpec& spec, int routers,
                                    kit::History& history)
-    : loop_(loop), spec_(spec), told_(history, routers, spec.pushed, spec.ask_within) {
+    : loop_(loop), spec_(spec), notifications_(history, routers, spec.pushed, spec.ask_within) {
   for (int router = 0; router < routers; ++router) {
-    auto door = std::make_unique<Door>();
-    door->owner = this;
-    door->router = router;
-    door->http = evhttp_new(loop.base());
-    auto* socket = evhttp_bind_socket_with_handle(door->http, "127.0.0.1", 0);
+    auto listener = std::make_unique<HttpListener>();
+    listener->owner = this;
+    listener->router = router;
+    listener->http = evhttp_new(loop.base());
+    auto* socket = evhttp_bind_socket_with_handle(listener->http, "127.0.0.1", 0);
     if (!socket) throw std::runtime_error("discovery: no listening socket");
     sockaddr_in address{};
     socklen_t size = sizeof address;
     ::getsockname(evhttp_bound_socket_get_fd(socket), reinterpret_cast<sockaddr*>(&address), &size);
-    door->port = ntohs(address.sin_port);
-    evhttp_set_gencb(door->http, on_call, door.get());
-    doors_.push_back(std::move(door));
+    listener->port = ntohs(address.sin_port);
+    evhttp_set_gencb(listener->http, on_call, listener.get());
+    listeners_.push_back(std::move(listener));
   }
   tick();
 }
 
 DiscoveryStandin::~DiscoveryStandin() {
-  for (auto& door : doors_) evhttp_free(door->http);
+  for (auto& listener : listeners_) evhttp_free(listener->http);
 }
 
 std::string DiscoveryStandin::address(int router) const {
-  return "127.0.0.1:" + std::to_string(doors_[static_cast<std::size_t>(router)]->port);
+  return "127.0.0.1:" + std::to_string(listeners_[static_cast<std::size_t>(router)]->port);
 }
 
 void DiscoveryStandin::tick() {
-  told_.advance(loop_.now());
-  loop_.at(loop_.now() + kTick, [this] { tick(); });
+  notifications_.advance(loop_.now());
+  loop_.at(loop_.now() + kNotificationInterval, [this] { tick(); });
 }
 
 void DiscoveryStandin::publish(const Entry& entry) {
   if (spec_.pushed && down_) {
-    unheard_.push_back(entry);
+    deferred_.push_back(entry);
     return;
   }
   ++version_;
-  told_.changed(entry.server, entry.health, loop_.now());
-  auto it = std::find_if(held_.begin(), held_.end(),
-                         [&](const Held& h) { return h.entry.id == entry.id; });
-  if (it == held_.end())
-    held_.push_back({entry, version_});
+  notifications_.on_change(entry.server, entry.health, loop_.now());
+  auto it = std::find_if(entries_.begin(), entries_.end(),
+                         [&](const VersionedEntry& h) { return h.entry.id == entry.id; });
+  if (it == entries_.end())
+    entries_.push_back({entry, version_});
   else
     *it = {entry, version_};
-  look_at_watches();
+  answer_due_watches();
 }
 
 void DiscoveryStandin::set_down(bool down) {
   down_ = down;
   if (spec_.pushed) {
     if (down) return;
-    for (const Entry& entry : std::exchange(unheard_, {})) publish(entry);
-    look_at_watches();
+    for (const Entry& entry : std::exchange(deferred_, {})) publish(entry);
+    answer_due_watches();
     return;
   }
-  if (!down) return told_.back(loop_.now());
+  if (!down) return notifications_.on_recovery(loop_.now());
   for (const Call& call : queue_) fail(call);
   queue_.clear();
   reset_watches();
@@ -101,7 +101,7 @@
     if (call.silent) continue;
     call.silent = true;
     count_watches(call.router);
-    told_.silent(call.router, call.until, loop_.now());
+    notifications_.on_silence(call.router, call.until, loop_.now());
   }
 }
 
@@ -119,17 +119,17 @@
 }
 
 void DiscoveryStandin::count_watches(int router) {
-  told_.watching(
+  notifications_.set_watches(
       router, static_cast<int>(std::count_if(watches_.begin(), watches_.end(), [&](const Call& c) {
         return c.router == router && !c.silent;
       })));
 }
 
-std::string DiscoveryStandin::entry_json(const Held& held, int router) const {
+std::string DiscoveryStandin::entry_json(const VersionedEntry& held, int router) const {
   const Entry& e = held.entry;
   return nlohmann::json{{"host", e.id},     {"dial", e.dials[static_cast<std::size_t>(router)]},
                         {"site", e.hall},   {"class", e.kind},
-                        {"block", e.block}, {"health", word_of(e.health)},
+                        {"block", e.block}, {"health", health_name(e.health)},
                         {"share", 1.0},     {"born_ms", e.born / 1000}}
       .dump();
 }
@@ -137,7 +137,7 @@
 std::string DiscoveryStandin::whole(int router) const {
   std::string text = R"({"seq":)" + std::to_string(version_) + R"(,"whole":true,"hosts":[)";
   bool first = true;
-  for (const Held& held : held_) {
+  for (const VersionedEntry& held : entries_) {
     if (held.entry.health == Health::Removed) continue;
     text += (first ? "" : ",") + entry_json(held, router);
     first = false;
@@ -146,8 +146,8 @@
 }
 
 void DiscoveryStandin::on_call(evhttp_request* request, void* at) {
-  auto* door = static_cast<Door*>(at);
-  DiscoveryStandin* self = door->owner;
+  auto* listener = static_cast<HttpListener*>(at);
+  DiscoveryStandin* self = listener->owner;
   ++self->calls_;
   const evhttp_uri* uri = evhttp_request_get_evhttp_uri(request);
   const char* path = evhttp_uri_get_path(uri);
@@ -158,7 +158,7 @@
   Call call;
   call.request = request;
   call.connection = evhttp_request_get_connection(request);
-  call.router = door->router;
+  call.router = listener->router;
   call.came = self->loop_.now();
   evkeyvalq pairs;
   const char* query = evhttp_uri_get_query(uri);
@@ -174,17 +174,17 @@
     if (index >= 0 && wait >= 0) {
       call.watch = true;
       call.index = static_cast<std::uint64_t>(index);
-      call.until = call.came + std::min<Micros>(wait * 1000, kLongestWatch);
+      call.until = call.came + std::min<Micros>(wait * 1000, kMaxWatchWait);
     }
   }
   // A waiting call is removed when its connection closes; evhttp frees the request then.
   evhttp_connection_set_closecb(call.connection, on_closed, self);
   // Without a read event evhttp would notice the close only at the next write.
   bufferevent_enable(evhttp_connection_get_bufferevent(call.connection), EV_READ);
-  self->told_.asked(call.router, call.came);
+  self->notifications_.on_call(call.router, call.came);
   if (self->spec_.pushed) {
-    self->take(call);
-  } else if (self->down_ || self->queue_.size() >= kMostCalls) {
+    self->serve_call(call);
+  } else if (self->down_ || self->queue_.size() >= kMaxQueuedCalls) {
     self->fail(call);
   } else {
     self->queue_.push_back(call);
@@ -209,12 +209,12 @@
 }
 
 /// Serves a call: answers it, or keeps it open as a watch.
-void DiscoveryStandin::take(const Call& call) {
+void DiscoveryStandin::serve_call(const Call& call) {
   bool agent_silent = spec_.pushed && down_;
   if (!agent_silent && !(call.watch && call.index == version_)) return answer(call);
   watches_.push_back(call);
   count_watches(call.router);
-  if (call.watch) loop_.at(call.until, [this] { look_at_watches(); });
+  if (call.watch) loop_.at(call.until, [this] { answer_due_watches(); });
 }
 
 /// Serves the queued calls in order, one every 1 / calls_per_s seconds.
@@ -230,14 +230,14 @@
       if (loop_.now() - call.came > spec_.call_limit) {
         fail(call);
       } else {
-        take(call);
+        serve_call(call);
       }
     }
     serve();
   });
 }
 
-void DiscoveryStandin::look_at_watches() {
+void DiscoveryStandin::answer_due_watches() {
   if (spec_.pushed && down_) return;
   Micros now = loop_.now();
   std::list<Call> due;
@@ -258,26 +258,27 @@
   if (!call.watch || call.index > version_) {
     std::string body = whole(call.router);
     std::vector<std::pair<int, Health>> all;
-    for (const Held& held : held_) all.emplace_back(held.entry.server, held.entry.health);
-    told_.written(call.router, all, loop_.now());
+    for (const VersionedEntry& held : entries_)
+      all.emplace_back(held.entry.server, held.entry.health);
+    notifications_.on_written(call.router, all, loop_.now());
     reply(call.request, 200, body);
     return;
   }
   std::string text = R"({"seq":)" + std::to_string(version_) + R"(,"whole":false,"hosts":[)";
   bool first = true;
   std::vector<std::pair<int, Health>> changed;
-  for (const Held& held : held_) {
+  for (const VersionedEntry& held : entries_) {
     if (held.version <= call.index) continue;
     changed.emplace_back(held.entry.server, held.entry.health);
     text += (first ? "" : ",") + entry_json(held, call.router);
     first = false;
   }
-  told_.written(call.router, changed, loop_.now());
+  notifications_.on_written(call.router, changed, loop_.now());
   reply(call.request, 200, text + "]}");
 }
 
 void DiscoveryStandin::fail(const Call& call) {
-  told_.failed(call.router, loop_.now());
+  notifications_.on_failure(call.router, loop_.now());
   reply(call.request, 503, "");
 }
 
--- a/src/kit/standin/discovery.hpp
+++ b/src/kit/standin/discovery.hpp
@@ -42,14 +42,14 @@
   /// Fails the watches that are open now.
   void reset_watches();
   /// Adds `delay` to the service time of each call of a polled list.
-  void slow_by(Micros delay) { delay_ = delay; }
+  void set_delay(Micros delay) { delay_ = delay; }
   bool down() const { return down_; }
   /// The whole host list as JSON, with the addresses of `router`.
   std::string whole(int router) const;
   std::uint64_t calls() const { return calls_; }
 
  private:
-  struct Door {
+  struct HttpListener {
     DiscoveryStandin* owner = nullptr;
     int router = 0;
     int port = 0;
@@ -64,31 +64,31 @@
     bool watch = false;
     bool silent = false;
   };
-  struct Held {
+  struct VersionedEntry {
     Entry entry;
     std::uint64_t version = 0;
   };
-  static void on_call(evhttp_request* request, void* door);
+  static void on_call(evhttp_request* request, void* listener);
   static void on_closed(evhttp_connection* connection, void* self);
   void serve();
-  void take(const Call& call);
+  void serve_call(const Call& call);
   void tick();
   void count_watches(int router);
   void answer(const Call& call);
   void fail(const Call& call);
   void reply(evhttp_request* request, int code, const std::string& body);
-  std::string entry_json(const Held& held, int router) const;
-  void look_at_watches();
+  std::string entry_json(const VersionedEntry& held, int router) const;
+  void answer_due_watches();
 
   kit::Loop& loop_;
   const FleetSpec& spec_;
-  ToldAccount told_;
-  std::vector<std::unique_ptr<Door>> doors_;
-  std::vector<Held> held_;
+  NotificationOracle notifications_;
+  std::vector<std::unique_ptr<HttpListener>> listeners_;
+  std::vector<VersionedEntry> entries_;
   std::deque<Call> queue_;   // served one after another
   std::list<Call> watches_;  // also silenced ones, and every call of agents while discovery is down
   std::uint64_t version_ = 1, calls_ = 0;
-  std::vector<Entry> unheard_;  // changes to publish to agents when discovery is up again
+  std::vector<Entry> deferred_;  // changes to publish to agents when discovery is up again
   Micros delay_ = 0;
   bool down_ = false, serving_ = false;
 };
--- a/src/kit/standin/fleet.cpp
+++ b/src/kit/standin/fleet.cpp
@@ -9,57 +9,57 @@
 
 constexpr Micros kSampleEvery = 250'000;  // between load samples for the report
 
-bool of_discovery(FaultKind kind) { return kind >= FaultKind::kDiscoveryDown; }
+bool is_discovery_fault(FaultKind kind) { return kind >= FaultKind::kDiscoveryDown; }
 
 }  // namespace
 
-int Shared::hall_of(int router) const {
-  return router < static_cast<int>(router_halls.size())
-             ? router_halls[static_cast<std::size_t>(router)]
+int FleetState::zone_of(int router) const {
+  return router < static_cast<int>(router_zones.size())
+             ? router_zones[static_cast<std::size_t>(router)]
              : -1;
 }
 
-bool Shared::on(const Fault& fault) const {
+bool FleetState::active(const Fault& fault) const {
   if (!origin_time) return false;
   Micros now = day();
   return now >= fault.from && now < fault.until;
 }
 
-bool Shared::cut(int router, int hall) const {
-  int from = hall_of(router);
+bool FleetState::partitioned(int router, int hall) const {
+  int from = zone_of(router);
   if (from < 0 || from == hall) return false;
   return std::any_of(faults.begin(), faults.end(), [&](const Fault& f) {
-    return f.kind == FaultKind::kHallCut && on(f) && (f.hall == from || f.hall == hall);
+    return f.kind == FaultKind::kHallCut && active(f) && (f.hall == from || f.hall == hall);
   });
 }
 
-Micros Shared::crossing(int router, int hall) const {
-  int from = hall_of(router);
+Micros FleetState::network_delay(int router, int hall) const {
+  int from = zone_of(router);
   if (from < 0 || from == hall) return spec.same;
   Micros way = spec.cross;
   for (const Fault& f : faults)
-    if (f.kind == FaultKind::kHallSlow && on(f) && (f.hall == from || f.hall == hall))
+    if (f.kind == FaultKind::kHallSlow && active(f) && (f.hall == from || f.hall == hall))
       way += f.delay;
   return way;
 }
 
 Fleet::Fleet(kit::Loop& loop, const FleetSpec& spec, std::vector<Fault> faults, std::uint64_t seed,
-             std::vector<int> router_halls, kit::History& history)
+             std::vector<int> router_zones, kit::History& history)
     : shared_{loop,
               spec,
               kit::Draws(seed),
               history,
-              std::move(router_halls),
+              std::move(router_zones),
               std::move(faults),
               0,
-              Repeats(spec.repeat_window),
+              IdempotencyCache(spec.repeat_window),
               Station(spec.origin.parallel, spec.origin.waiting),
               {},
               {},
               1,
               [this] { pump_origin(); },
               {}} {
-  int routers = static_cast<int>(shared_.router_halls.size());
+  int routers = static_cast<int>(shared_.router_zones.size());
   discovery_ = std::make_unique<DiscoveryStandin>(loop, spec, routers, history);
   for (std::size_t k = 0; k < spec.servers.size(); ++k) {
     history.servers.push_back(spec.servers[k].id);
@@ -82,7 +82,7 @@
   e.block = cache.spec().block;
   e.health = health;
   e.born = cache.born();
-  for (std::size_t r = 0; r < shared_.router_halls.size(); ++r)
+  for (std::size_t r = 0; r < shared_.router_zones.size(); ++r)
     e.dials.push_back(cache.address(static_cast<int>(r)));
   return e;
 }
@@ -102,7 +102,7 @@
 
 void Fleet::start(Micros origin) {
   shared_.origin_time = origin;
-  shared_.loop.forget_lateness();
+  shared_.loop.reset_lateness();
   kit::Loop& loop = shared_.loop;
   for (const Fault& fault : shared_.faults) {
     loop.at(origin + fault.from, [this, &fault] { begin(fault); });
@@ -113,16 +113,16 @@
     if (joins <= 0) continue;
     loop.at(origin + joins, [this, c = cache.get()] {
       c->start(shared_.loop.now());
-      tell(entry(*c, Health::Ready), shared_.spec.notice);
+      publish_later(entry(*c, Health::Ready), shared_.spec.notice);
     });
   }
   sample();
 }
 
 /// Publishes `entry` in discovery's list after `after` and the delays of active faults.
-void Fleet::tell(DiscoveryStandin::Entry entry, Micros after) {
+void Fleet::publish_later(DiscoveryStandin::Entry entry, Micros after) {
   for (const Fault& f : shared_.faults)
-    if (f.kind == FaultKind::kDiscoveryLate && shared_.on(f)) after += f.delay;
+    if (f.kind == FaultKind::kDiscoveryLate && shared_.active(f)) after += f.delay;
   shared_.loop.at(shared_.loop.now() + after,
                   [this, entry = std::move(entry)] { discovery_->publish(entry); });
 }
@@ -131,31 +131,31 @@
   if (fault.kind == FaultKind::kDiscoveryDown) return discovery_->set_down(true);
   if (fault.kind == FaultKind::kDiscoverySilent) return discovery_->silence_watches();
   if (fault.kind == FaultKind::kDiscoveryReset) return discovery_->reset_watches();
-  if (fault.kind == FaultKind::kDiscoverySlow) return discovery_->slow_by(fault.delay);
+  if (fault.kind == FaultKind::kDiscoverySlow) return discovery_->set_delay(fault.delay);
   const FleetSpec& spec = shared_.spec;
   for (int server : fault.servers) {
     PriceCache& cache = *shared_.caches[static_cast<std::size_t>(server)];
     switch (fault.kind) {
       case FaultKind::kDies:
-        cache.die();
-        tell(entry(cache, Health::Removed), spec.notice);
+        cache.stop();
+        publish_later(entry(cache, Health::Removed), spec.notice);
         break;
       case FaultKind::kVanishes:
         if (fault.until - fault.from > spec.silent_notice)
-          tell(entry(cache, Health::Removed), spec.silent_notice);
+          publish_later(entry(cache, Health::Removed), spec.silent_notice);
         break;
       case FaultKind::kDrain:
         cache.drain();
-        tell(entry(cache, Health::Draining), spec.notice);
+        publish_later(entry(cache, Health::Draining), spec.notice);
         break;
       case FaultKind::kReplaced: {
-        cache.die();
-        tell(entry(cache, Health::Removed), spec.notice);
+        cache.stop();
+        publish_later(entry(cache, Health::Removed), spec.notice);
         shared_.loop.at(shared_.loop.now() + fault.delay, [this, &cache] {
           shared_.history.servers.push_back(cache.id() + "+");
           cache.rename(static_cast<int>(shared_.history.servers.size()) - 1);
           cache.start(shared_.loop.now());
-          tell(entry(cache, Health::Ready), shared_.spec.notice);
+          publish_later(entry(cache, Health::Ready), shared_.spec.notice);
         });
         break;
       }
@@ -163,13 +163,13 @@
         break;
     }
   }
-  if (!of_discovery(fault.kind))
+  if (!is_discovery_fault(fault.kind))
     for (auto& cache : shared_.caches) cache->refresh();
 }
 
 void Fleet::end(const Fault& fault) {
   if (fault.kind == FaultKind::kDiscoveryDown) return discovery_->set_down(false);
-  if (fault.kind == FaultKind::kDiscoverySlow) return discovery_->slow_by(0);
+  if (fault.kind == FaultKind::kDiscoverySlow) return discovery_->set_delay(0);
   const FleetSpec& spec = shared_.spec;
   for (int server : fault.servers) {
     PriceCache& cache = *shared_.caches[static_cast<std::size_t>(server)];
@@ -177,29 +177,29 @@
       case FaultKind::kVanishes:
       case FaultKind::kDies:
         // The server comes back as a new process: connections to the old one are reset.
-        cache.die();
+        cache.stop();
         cache.start(shared_.loop.now());
-        tell(entry(cache, Health::Ready), spec.notice);
+        publish_later(entry(cache, Health::Ready), spec.notice);
         break;
       case FaultKind::kDrain:
-        cache.die();
-        tell(entry(cache, Health::Removed), spec.notice);
+        cache.stop();
+        publish_later(entry(cache, Health::Removed), spec.notice);
         break;
       default:
         break;
     }
   }
-  if (!of_discovery(fault.kind))
+  if (!is_discovery_fault(fault.kind))
     for (auto& cache : shared_.caches) cache->refresh();
 }
 
 void Fleet::pump_origin() {
   auto next = shared_.origin.next();
   Micros now = shared_.loop.now();
-  if (!next || (origin_due_ > now && origin_due_ <= *next)) return;
-  origin_due_ = *next;
+  if (!next || (next_origin_pump_ > now && next_origin_pump_ <= *next)) return;
+  next_origin_pump_ = *next;
   shared_.loop.at(*next, [this] {
-    origin_due_ = 0;
+    next_origin_pump_ = 0;
     for (std::uint64_t token : shared_.origin.take_done(shared_.loop.now())) {
       auto it = shared_.at_origin.find(token);
       if (it == shared_.at_origin.end()) continue;  // its connection was closed
--- a/src/kit/standin/fleet.hpp
+++ b/src/kit/standin/fleet.hpp
@@ -20,15 +20,15 @@
 struct Exchange;
 
 /// State shared by the stand-ins of a fleet. Owned by Fleet; price caches hold a reference.
-struct Shared {
+struct FleetState {
   kit::Loop& loop;
   const FleetSpec& spec;
   kit::Draws draws;
   kit::History& history;
-  std::vector<int> router_halls;
+  std::vector<int> router_zones;
   std::vector<Fault> faults;
   Micros origin_time = 0;  ///< start of the day on the loop's clock; 0 before it
-  Repeats repeats;
+  IdempotencyCache repeats;
   Station origin;
   std::unordered_map<std::uint64_t, Exchange*>
       exchanges;  // by token, while their connection is open
@@ -41,22 +41,22 @@
   Micros day() const { return origin_time ? loop.now() - origin_time : 0; }
   /// The zone of the router that connects to listener `router`; -1 for a till that connects
   /// directly.
-  int hall_of(int router) const;
+  int zone_of(int router) const;
   /// Current one-way network delay from a router's zone to zone `hall`, and whether a partition
   /// separates the two.
-  Micros crossing(int router, int hall) const;
-  bool cut(int router, int hall) const;
+  Micros network_delay(int router, int hall) const;
+  bool partitioned(int router, int hall) const;
   PriceCache& owner_of(const Exchange& exchange) const;
   /// Whether `fault` is active now.
-  bool on(const Fault& fault) const;
+  bool active(const Fault& fault) const;
 };
 
 class Fleet {
  public:
-  /// `router_halls`: the zone of each router. Each price cache has one listener more than there are
+  /// `router_zones`: the zone of each router. Each price cache has one listener more than there are
   /// routers, for tills that ask it directly. Throws std::runtime_error when a socket call fails.
   Fleet(kit::Loop& loop, const FleetSpec& spec, std::vector<Fault> faults, std::uint64_t seed,
-        std::vector<int> router_halls, kit::History& history);
+        std::vector<int> router_zones, kit::History& history);
   ~Fleet();
 
   /// Address of price cache `server` for router `router`; for tills that ask directly, `router` is
@@ -72,15 +72,15 @@
 
  private:
   DiscoveryStandin::Entry entry(const PriceCache& cache, Health health) const;
-  void tell(DiscoveryStandin::Entry entry, Micros after);
+  void publish_later(DiscoveryStandin::Entry entry, Micros after);
   void pump_origin();
   void sample();
   void begin(const Fault& fault);
   void end(const Fault& fault);
 
-  Shared shared_;
+  FleetState shared_;
   std::unique_ptr<DiscoveryStandin> discovery_;
-  Micros origin_due_ = 0;
+  Micros next_origin_pump_ = 0;
 };
 
 }  // namespace violetusher::standin
--- a/src/kit/standin/machine.cpp
+++ b/src/kit/standin/machine.cpp
@@ -5,7 +5,7 @@
 namespace violetusher::standin {
 
 bool Station::offer(Micros now, Job job, Micros work) {
-  if (working() >= cores_ && waiting() >= room_) return false;
+  if (working() >= cores_ && waiting() >= limit_) return false;
   push(now, job, work);
   return true;
 }
@@ -40,7 +40,7 @@
     Working ended = *first;
     busy_.erase(first);
     spent_ += static_cast<double>(ended.until - ended.from);
-    if (ended.job != kNobody) done.push_back(ended.job);
+    if (ended.job != kNoJob) done.push_back(ended.job);
     start(ended.until);  // the core took its next job then, even if this call comes later
   }
   return done;
@@ -65,7 +65,7 @@
     entries_.splice(entries_.begin(), entries_, it->second);
     return true;
   }
-  if (held_ <= 0 || touched_.count(key)) return false;
+  if (held_ <= 0 || changed_.count(key)) return false;
   if (draws_.uniform(kit::Stream::kHeld, kit::hash_of(key), server_) >= held_) return false;
   keep(key, size);
   return true;
@@ -77,7 +77,7 @@
   entries_.push_front({key, bytes});
   by_key_[key] = entries_.begin();
   used_ += bytes;
-  while (used_ > room_ && !entries_.empty()) {
+  while (used_ > limit_ && !entries_.empty()) {
     Entry& oldest = entries_.back();
     used_ -= oldest.size;
     by_key_.erase(oldest.key);
@@ -86,7 +86,7 @@
 }
 
 void Store::drop(const std::string& key) {
-  if (held_ > 0) touched_.insert(key);
+  if (held_ > 0) changed_.insert(key);
   auto it = by_key_.find(key);
   if (it == by_key_.end()) return;
   used_ -= it->second->size;
@@ -94,7 +94,7 @@
   by_key_.erase(it);
 }
 
-bool TippingPoint::sent(Micros now, Micros work, double capacity) {
+bool OverloadDetector::record(Micros now, Micros work, double capacity) {
   Micros step = now / kStep;
   if (step != step_) {
     // Compares the work sent in the previous step with the capacity; a step without work ends the
@@ -111,8 +111,8 @@
   return over_since_ >= 0 && now - over_since_ >= after_;
 }
 
-std::optional<std::string> Repeats::seen(Micros now, const std::string& key,
-                                         const std::string& receipt) {
+std::optional<std::string> IdempotencyCache::find_or_store(Micros now, const std::string& key,
+                                                           const std::string& receipt) {
   while (!order_.empty() && order_.front().first + window_ < now) {
     auto it = by_key_.find(order_.front().second);
     if (it != by_key_.end() && it->second.at == order_.front().first) by_key_.erase(it);
@@ -124,7 +124,7 @@
   return std::nullopt;
 }
 
-double warmth(const FleetSpec& spec, Micros age) {
+double capacity_fraction(const FleetSpec& spec, Micros age) {
   if (age >= spec.warm_up || spec.warm_up <= 0) return 1;
   double part = static_cast<double>(std::max<Micros>(age, 0)) / static_cast<double>(spec.warm_up);
   return spec.cold_share + (1 - spec.cold_share) * part;
--- a/src/kit/standin/machine.hpp
+++ b/src/kit/standin/machine.hpp
@@ -20,12 +20,12 @@
 class Station {
  public:
   using Job = std::uint64_t;
-  Station(int cores, int waiting) : cores_(cores), room_(waiting) {}
+  Station(int cores, int waiting) : cores_(cores), limit_(waiting) {}
 
   /// False where the queue is full. `work` is the time it takes on one core at pace 1.
   bool offer(Micros now, Job job, Micros work);
   /// Queues work that is never rejected, such as accepting a connection.
-  void impose(Micros now, Micros work) { push(now, kNobody, work); }
+  void enqueue_always(Micros now, Micros work) { push(now, kNoJob, work); }
   /// Removes a queued job; false where it is running or done.
   bool drop(Job job);
   /// Sets the speed of jobs that start from now on; running jobs keep their end time.
@@ -45,7 +45,7 @@
   }
 
  private:
-  static constexpr Job kNobody = ~Job{0};
+  static constexpr Job kNoJob = ~Job{0};
   struct Waiting {
     Job job;
     Micros work;
@@ -57,7 +57,7 @@
   void push(Micros now, Job job, Micros work);
   void start(Micros now);
 
-  int cores_, room_;
+  int cores_, limit_;
   double pace_ = 1, spent_ = 0;
   std::deque<Waiting> queue_;
   std::vector<Working> busy_;
@@ -69,7 +69,7 @@
  public:
   /// `held`: fraction of all keys that are stored from the start; 0 for a cold price cache.
   Store(std::uint64_t bytes, double held, kit::Draws draws, std::uint64_t server)
-      : room_(bytes), held_(held), draws_(draws), server_(server) {}
+      : limit_(bytes), held_(held), draws_(draws), server_(server) {}
   /// True for a hit, which marks the key as most recently used.
   bool find(const std::string& key, std::uint64_t size);
   void keep(const std::string& key, std::uint64_t size);
@@ -82,24 +82,24 @@
     std::string key;
     std::uint64_t size;
   };
-  std::uint64_t room_, used_ = 0;
+  std::uint64_t limit_, used_ = 0;
   double held_;
   kit::Draws draws_;
   std::uint64_t server_;
   std::list<Entry> entries_;  // most recently used first
   std::unordered_map<std::string, std::list<Entry>::iterator> by_key_;
   std::unordered_set<std::string>
-      touched_;  // keys stored or removed since, for which the draw no longer decides
+      changed_;  // keys stored or removed since, for which the draw no longer decides
 };
 
 /// Detects when overload makes a cold price cache collapse: it was sent more than `multiple` times
 /// its current capacity in every tenth of a second for `after`.
-class TippingPoint {
+class OverloadDetector {
  public:
-  TippingPoint(double multiple, Micros after) : multiple_(multiple), after_(after) {}
+  OverloadDetector(double multiple, Micros after) : multiple_(multiple), after_(after) {}
   /// Records `work`. `capacity`: current capacity in cores of speed 1. True when the price cache
   /// collapses.
-  bool sent(Micros now, Micros work, double capacity);
+  bool record(Micros now, Micros work, double capacity);
 
  private:
   static constexpr Micros kStep = 100'000;
@@ -110,11 +110,12 @@
 };
 
 /// Idempotency keys of recent writes, shared by all price caches of a fleet.
-class Repeats {
+class IdempotencyCache {
  public:
-  explicit Repeats(Micros window) : window_(window) {}
+  explicit IdempotencyCache(Micros window) : window_(window) {}
   /// The receipt of the first run where `key` ran within the window; otherwise stores `receipt`.
-  std::optional<std::string> seen(Micros now, const std::string& key, const std::string& receipt);
+  std::optional<std::string> find_or_store(Micros now, const std::string& key,
+                                           const std::string& receipt);
   std::size_t size() const { return by_key_.size(); }
 
  private:
@@ -128,6 +129,6 @@
 };
 
 /// Fraction of its full capacity that a price cache has at `age`.
-double warmth(const FleetSpec& spec, Micros age);
+double capacity_fraction(const FleetSpec& spec, Micros age);
 
 }  // namespace violetusher::standin
--- a/src/kit/standin/price_cache.cpp
+++ b/src/kit/standin/price_cache.cpp
@@ -11,19 +11,19 @@
 
 constexpr int kBacklog = 512;
 // A connection that is accepted within this time after a cut may have been established during it.
-constexpr Micros kAcceptedLate = 50'000;
-constexpr double kWorkSigma = 0.35;  // log-normal spread of the work within a class of requests
-constexpr Micros kWorkUnhinted = 30'000;  // mean work of a request without a work hint
+constexpr Micros kAcceptAfterCutWindow = 50'000;
+constexpr double kWorkSigma = 0.35;      // log-normal spread of the work within a class of requests
+constexpr Micros kDefaultWork = 30'000;  // mean work of a request without a work hint
 
 }  // namespace
 
-PriceCache& Shared::owner_of(const Exchange& exchange) const {
+PriceCache& FleetState::owner_of(const Exchange& exchange) const {
   return exchange.connection->owner();
 }
 
 // ---- the price cache ----
 
-PriceCache::PriceCache(Shared& shared, int server, int addresses)
+PriceCache::PriceCache(FleetState& shared, int server, int addresses)
     : shared_(shared),
       server_(server),
       spec_index_(server),
@@ -32,7 +32,7 @@
       addresses_(static_cast<std::size_t>(addresses)),
       station_(kind_.cores, kind_.waiting),
       store_(0, 0, shared.draws, 0),
-      tipping_(shared.spec.fall_multiple, shared.spec.fall_after) {
+      overload_(shared.spec.fall_multiple, shared.spec.fall_after) {
   for (int router = 0; router < addresses; ++router) {
     listeners_.push_back(std::make_unique<Listener>());
     listeners_.back()->owner = this;
@@ -41,18 +41,18 @@
 }
 
 PriceCache::~PriceCache() {
-  booking_ = false;
-  die();
+  recording_ = false;
+  stop();
 }
 
 void PriceCache::start(Micros born) {
   born_ = born;
   running_ = true;
-  draining_ = fallen_ = false;
+  draining_ = collapsed_ = false;
   station_ = Station(kind_.cores, kind_.waiting);
   store_ = Store(kind_.memory, born == 0 ? shared_.spec.held : 0, shared_.draws,
                  static_cast<std::uint64_t>(server_));
-  tipping_ = TippingPoint(shared_.spec.fall_multiple, shared_.spec.fall_after);
+  overload_ = OverloadDetector(shared_.spec.fall_multiple, shared_.spec.fall_after);
   reports_.clear();
   spent_before_ = spent_sampled_ = 0;
   sampled_at_ = shared_.loop.now();
@@ -69,11 +69,11 @@
   event_add(listener.event.get(), nullptr);
 }
 
-void PriceCache::die() {
+void PriceCache::stop() {
   running_ = false;
   for (auto& listener : listeners_) {
     listener->event.reset();
-    listener->plugs.clear();
+    listener->backlog_connections.clear();
     listener->fd.reset();
     listener->silent = false;
   }
@@ -83,13 +83,13 @@
 }
 
 bool PriceCache::silent_now(int router) const {
-  return fault(FaultKind::kVanishes) || shared_.cut(router, spec().hall);
+  return fault(FaultKind::kVanishes) || shared_.partitioned(router, spec().hall);
 }
 
 void PriceCache::refresh() {
   const Fault* slow = fault(FaultKind::kSlow);
-  station_.set_pace(kind_.speed * (fallen_ ? 1e-3 : 1) / (slow ? slow->factor : 1) *
-                    (born_ ? warmth(shared_.spec, shared_.loop.now() - born_) : 1));
+  station_.set_pace(kind_.speed * (collapsed_ ? 1e-3 : 1) / (slow ? slow->factor : 1) *
+                    (born_ ? capacity_fraction(shared_.spec, shared_.loop.now() - born_) : 1));
   if (!running_) return;
   for (auto& listener : listeners_) {
     bool silent = silent_now(listener->router);
@@ -102,9 +102,10 @@
   (silent ? listener.silent_from : listener.silent_until) = shared_.loop.now();
   if (silent) {
     event_del(listener.event.get());
-    listener.plugs = addresses_[static_cast<std::size_t>(listener.router)].plug(listener.fd.get());
+    listener.backlog_connections =
+        addresses_[static_cast<std::size_t>(listener.router)].fill_backlog(listener.fd.get());
   } else {
-    listener.plugs.clear();
+    listener.backlog_connections.clear();
     ::listen(listener.fd.get(), kBacklog);
     event_add(listener.event.get(), nullptr);
   }
@@ -121,14 +122,16 @@
     net::Fd peer(::accept4(fd, nullptr, nullptr, SOCK_CLOEXEC | SOCK_NONBLOCK));
     if (!peer) return;
     Micros now = self->shared_.loop.now();
-    Micros silent_since = now - listener->silent_until < kAcceptedLate ? listener->silent_from : 0;
+    Micros silent_since =
+        now - listener->silent_until < kAcceptAfterCutWindow ? listener->silent_from : 0;
     bool full = static_cast<int>(self->connections_.size()) >= self->kind_.connections;
     // Connections beyond the limit are answered busy; beyond twice the limit they are just closed.
     if (static_cast<int>(self->connections_.size()) >= 2 * self->kind_.connections) continue;
     if (!full) {
-      const Fault* dear = self->fault(FaultKind::kConnectCost);
-      auto work = static_cast<double>(self->kind_.connect_work) * (dear ? dear->factor : 1);
-      self->station_.impose(now, static_cast<Micros>(work));
+      const Fault* costly_connect = self->fault(FaultKind::kConnectCost);
+      auto work = static_cast<double>(self->kind_.connect_work) *
+                  (costly_connect ? costly_connect->factor : 1);
+      self->station_.enqueue_always(now, static_cast<Micros>(work));
       self->pump();
     }
     self->connections_.push_back(
@@ -140,7 +143,7 @@
   auto it = std::find_if(connections_.begin(), connections_.end(),
                          [&](auto& c) { return c.get() == &connection; });
   if (it == connections_.end()) return;
-  connection.shut(reset, booking_);
+  connection.terminate(reset, recording_);
   // A method of the connection may be on the call stack, so the loop frees it afterwards.
   closed_.push_back(std::move(*it));
   connections_.erase(it);
@@ -149,13 +152,13 @@
 
 const Fault* PriceCache::fault(FaultKind kind) const {
   for (const Fault& f : shared_.faults)
-    if (f.kind == kind && shared_.on(f) &&
+    if (f.kind == kind && shared_.active(f) &&
         std::find(f.servers.begin(), f.servers.end(), spec_index_) != f.servers.end())
       return &f;
   return nullptr;
 }
 
-bool PriceCache::strikes(FaultKind kind, const Exchange& exchange) const {
+bool PriceCache::fault_applies(FaultKind kind, const Exchange& exchange) const {
   const Fault* f = fault(kind);
   if (!f) return false;
   // The draw depends on the request and the server alone, not on the order of arrival.
@@ -165,23 +168,24 @@
 }
 
 double PriceCache::capacity() const {
-  return kind_.cores * kind_.speed * (born_ ? warmth(shared_.spec, shared_.loop.now() - born_) : 1);
+  return kind_.cores * kind_.speed *
+         (born_ ? capacity_fraction(shared_.spec, shared_.loop.now() - born_) : 1);
 }
 
 Micros PriceCache::work_of(const Exchange& exchange) const {
   RequestName name;
   std::uint64_t index =
       read_request_id(exchange.command.id, name) ? name.request : kit::hash_of(exchange.command.id);
-  double mean = static_cast<double>(exchange.command.work.value_or(kWorkUnhinted));
+  double mean = static_cast<double>(exchange.command.work.value_or(kDefaultWork));
   return static_cast<Micros>(mean * shared_.draws.lognormal(kWorkSigma, kit::Stream::kWork, index));
 }
 
 void PriceCache::arrive(Exchange& exchange) {
-  Micros crossing = shared_.crossing(exchange.connection->router(), spec().hall) +
-                    (exchange.handshake ? shared_.spec.handshake : 0);
+  Micros network_delay = shared_.network_delay(exchange.connection->router(), spec().hall) +
+                         (exchange.handshake ? shared_.spec.handshake : 0);
   std::uint64_t token = exchange.token;
-  if (crossing <= 0) return begin(exchange);
-  shared_.loop.at(shared_.loop.now() + crossing, [this, token] {
+  if (network_delay <= 0) return begin(exchange);
+  shared_.loop.at(shared_.loop.now() + network_delay, [this, token] {
     auto it = shared_.exchanges.find(token);
     if (it != shared_.exchanges.end()) begin(*it->second);
   });
@@ -190,44 +194,44 @@
 void PriceCache::begin(Exchange& exchange) {
   Micros now = shared_.loop.now();
   if (fault(FaultKind::kMute)) return;
-  if (exchange.connection->turned_away()) {
+  if (exchange.connection->rejected()) {
     exchange.connection->close_after_answers();
     return finish(exchange, Answered::kBusy, "SERVER_ERROR busy");
   }
-  if (draining_ || strikes(FaultKind::kBusy, exchange))
+  if (draining_ || fault_applies(FaultKind::kBusy, exchange))
     return finish(exchange, Answered::kBusy, "SERVER_ERROR busy");
   refresh();
   Micros work = work_of(exchange);
-  if (born_ && now - born_ < shared_.spec.warm_up && !fallen_ &&
-      tipping_.sent(now, work, capacity()))
-    return fall();
+  if (born_ && now - born_ < shared_.spec.warm_up && !collapsed_ &&
+      overload_.record(now, work, capacity()))
+    return collapse();
   if (!station_.offer(now, exchange.token, work))
     return finish(exchange, Answered::kBusy, "SERVER_ERROR busy");
   pump();
 }
 
-void PriceCache::fall() {
-  fallen_ = true;
+void PriceCache::collapse() {
+  collapsed_ = true;
   shared_.history.fallen.emplace_back(server_, shared_.loop.now());
-  die();
+  stop();
 }
 
 void PriceCache::pump() {
   auto next = station_.next();
   Micros now = shared_.loop.now();
-  if (!next || (due_ > now && due_ <= *next)) return;
-  due_ = *next;
+  if (!next || (next_pump_ > now && next_pump_ <= *next)) return;
+  next_pump_ = *next;
   shared_.loop.at(*next, [this] {
-    due_ = 0;
+    next_pump_ = 0;
     for (std::uint64_t token : station_.take_done(shared_.loop.now())) {
       auto it = shared_.exchanges.find(token);
-      if (it != shared_.exchanges.end()) worked(*it->second);
+      if (it != shared_.exchanges.end()) on_work_done(*it->second);
     }
     pump();
   });
 }
 
-void PriceCache::worked(Exchange& exchange) {
+void PriceCache::on_work_done(Exchange& exchange) {
   Micros now = shared_.loop.now();
   auto& record = this->record(exchange);
   const std::string& key = exchange.command.key;
@@ -241,8 +245,8 @@
     if (!exchange.command.idempotency.empty()) {
       // The key is stored only if the write runs: where the product master has no room, the write
       // fails without an effect, and its repeat has to run.
-      auto first =
-          room ? shared_.repeats.seen(now, exchange.command.idempotency, receipt) : std::nullopt;
+      auto first = room ? shared_.repeats.find_or_store(now, exchange.command.idempotency, receipt)
+                        : std::nullopt;
       if (first) {
         record.repeat = true;
         record.value = kit::hash_of(*first);
@@ -317,31 +321,31 @@
   bool ran = how == Answered::kServed;
   bool close = false;
   const std::string& id = exchange.command.id;
-  if (ran && strikes(FaultKind::kErrors, exchange)) {
+  if (ran && fault_applies(FaultKind::kErrors, exchange)) {
     how = Answered::kError;
     text = "SERVER_ERROR failed\r\n";
-  } else if (ran && strikes(FaultKind::kResets, exchange)) {
+  } else if (ran && fault_applies(FaultKind::kResets, exchange)) {
     how = Answered::kReset;
     close = true;
-  } else if (ran && strikes(FaultKind::kNoise, exchange)) {
+  } else if (ran && fault_applies(FaultKind::kNoise, exchange)) {
     how = Answered::kSpoilt;
     text = std::string("\x01\xff\x7f\x00?!", 6) + id + "\r\n\r\n";
-  } else if (ran && strikes(FaultKind::kEndless, exchange)) {
+  } else if (ran && fault_applies(FaultKind::kEndless, exchange)) {
     how = Answered::kSpoilt;
     text = "VA " + std::string(8192, '9');
-  } else if (ran && strikes(FaultKind::kLength, exchange)) {
+  } else if (ran && fault_applies(FaultKind::kLength, exchange)) {
     how = Answered::kSpoilt;
     text = "VA 7 O" + id + " h1\r\nnot seven bytes\r\n";
-  } else if (ran && strikes(FaultKind::kOtherId, exchange)) {
+  } else if (ran && fault_applies(FaultKind::kOtherId, exchange)) {
     how = Answered::kSpoilt;
     text = "VA 5 Oq18446744073709551-9 h1\r\nother\r\n";
-  } else if (ran && strikes(FaultKind::kSecondCopy, exchange)) {
+  } else if (ran && fault_applies(FaultKind::kSecondCopy, exchange)) {
     text += text;  // the first copy is valid, so the request is served
   }
-  if (late && strikes(FaultKind::kLate, exchange))
+  if (late && fault_applies(FaultKind::kLate, exchange))
     at = std::max(
         now, exchange.arrived + static_cast<Micros>(exchange.command.wait_ms * 1000) + late->delay);
-  at += shared_.crossing(exchange.connection->router(), spec().hall);
+  at += shared_.network_delay(exchange.connection->router(), spec().hall);
   std::uint64_t token = exchange.token;
   // Never delivered synchronously: the connection may be iterating over its commands.
   shared_.loop.at(at, [this, token, how, text = std::move(text), close]() mutable {
@@ -349,14 +353,15 @@
   });
 }
 
-void PriceCache::deliver(std::uint64_t token, Answered how, std::string text, bool spoilt_close) {
+void PriceCache::deliver(std::uint64_t token, Answered how, std::string text,
+                         bool reset_connection) {
   auto it = shared_.exchanges.find(token);
   if (it == shared_.exchanges.end()) return;  // its connection was closed
   Exchange& exchange = *it->second;
   auto& record = this->record(exchange);
   record.made = shared_.loop.now();
   Connection& connection = *exchange.connection;
-  if (spoilt_close) return close(connection, true);
+  if (reset_connection) return close(connection, true);
   exchange.text = std::move(text);
   exchange.how = how;  // recorded once it is written, as other answers may have to go first
   exchange.done = true;
--- a/src/kit/standin/price_cache.hpp
+++ b/src/kit/standin/price_cache.hpp
@@ -16,7 +16,7 @@
 
 class PriceCache {
  public:
-  PriceCache(Shared& shared, int server, int addresses);
+  PriceCache(FleetState& shared, int server, int addresses);
   ~PriceCache();
 
   const std::string& id() const {
@@ -34,7 +34,7 @@
   /// Starts the process, which then listens. It is cold unless `born`, its start time, is 0.
   void start(Micros born);
   /// Stops the process as a crash does: resets its connections; new ones are refused.
-  void die();
+  void stop();
   /// Changes the id and keeps the address; only while the process is stopped.
   void rename(int server) { server_ = server; }
   void drain() { draining_ = true; }
@@ -51,7 +51,7 @@
   struct Listener {
     net::Fd fd;
     net::EventPtr event;
-    std::vector<net::Fd> plugs;
+    std::vector<net::Fd> backlog_connections;
     bool silent = false;
     Micros silent_from = 0, silent_until = 0;  // of the latest cut
     PriceCache* owner = nullptr;
@@ -62,25 +62,25 @@
   void set_silent(Listener& listener, bool silent);
   bool silent_now(int router) const;
   const Fault* fault(FaultKind kind) const;
-  bool strikes(FaultKind kind, const Exchange& exchange) const;
+  bool fault_applies(FaultKind kind, const Exchange& exchange) const;
   double capacity() const;
   std::string report() const;
   void arrive(Exchange& exchange);
   void begin(Exchange& exchange);
-  void worked(Exchange& exchange);
+  void on_work_done(Exchange& exchange);
   void finish(Exchange& exchange, kit::Answered how, std::string text);
-  void deliver(std::uint64_t token, kit::Answered how, std::string text, bool spoilt_close);
+  void deliver(std::uint64_t token, kit::Answered how, std::string text, bool reset_connection);
   std::uint64_t size_of(const std::string& key) const;
   std::string served_text(Exchange& exchange);
   Micros work_of(const Exchange& exchange) const;
   void pump();
-  void fall();
+  void collapse();
   void close(Connection& connection, bool reset);
   kit::AttemptRecord& record(const Exchange& exchange) {
     return shared_.history.attempts[exchange.attempt];
   }
 
-  Shared& shared_;
+  FleetState& shared_;
   int server_;      // index into History::servers, new with each id
   int spec_index_;  // index into FleetSpec::servers
   const MachineKind& kind_;
@@ -90,9 +90,9 @@
   std::vector<std::unique_ptr<Connection>> closed_;
   Station station_;
   Store store_;
-  TippingPoint tipping_;
-  bool running_ = false, draining_ = false, fallen_ = false, booking_ = true;
-  Micros born_ = 0, due_ = 0;
+  OverloadDetector overload_;
+  bool running_ = false, draining_ = false, collapsed_ = false, recording_ = true;
+  Micros born_ = 0, next_pump_ = 0;
   std::unordered_map<std::string, int> fetching_;
   // The load reports that wait for their lag, and the figures that the next one is made from.
   struct Load {
--- a/src/kit/standin/told.cpp
+++ b/src/kit/standin/told.cpp
@@ -9,79 +9,82 @@
 // The constants of docs/design/membership.md, repeated here so that the oracle shares no code with
 // the router.
 constexpr Micros kAfterSilence = 6'000'000, kAfterWait = 2'000'000;
-constexpr int kFailedHolds = 4;  // factor of the hold after a call that failed
+constexpr int kFailedCallFactor = 4;  // factor of the period after a failed call
 constexpr Micros kNever = std::numeric_limits<Micros>::max();
 
 }  // namespace
 
-ToldAccount::ToldAccount(kit::History& history, int routers, bool pushed, Micros ask_within)
+NotificationOracle::NotificationOracle(kit::History& history, int routers, bool pushed,
+                                       Micros ask_within)
     : history_(history),
       pushed_(pushed),
       ask_within_(ask_within),
       routers_(static_cast<std::size_t>(routers)) {}
 
-void ToldAccount::changed(int server, Health health, Micros now) {
-  for (Router& r : routers_) r.untold.push_back({server, health, now});
+void NotificationOracle::on_change(int server, Health health, Micros now) {
+  for (Router& r : routers_) r.pending.push_back({server, health, now});
   advance(now);
 }
 
-void ToldAccount::written(int router, const std::vector<std::pair<int, Health>>& entries,
-                          Micros now) {
+void NotificationOracle::on_written(int router, const std::vector<std::pair<int, Health>>& entries,
+                                    Micros now) {
   Router& r = routers_[static_cast<std::size_t>(router)];
-  r.silent_due = 0;
+  r.silent_deadline = 0;
   r.call_failed = false;
   for (auto [server, health] : entries) history_.told.push_back({router, server, health, now});
-  r.untold.clear();
+  r.pending.clear();
 }
 
-void ToldAccount::asked(int router, Micros now) {
+void NotificationOracle::on_call(int router, Micros now) {
   Router& r = routers_[static_cast<std::size_t>(router)];
   r.call_failed = false;
-  r.hold = now + hold_for(r);
+  r.excused_until = now + excuse_period(r);
 }
 
-void ToldAccount::failed(int router, Micros now) {
+void NotificationOracle::on_failure(int router, Micros now) {
   Router& r = routers_[static_cast<std::size_t>(router)];
   r.call_failed = true;
-  r.hold = std::max(r.hold, now + hold_for(r));
+  r.excused_until = std::max(r.excused_until, now + excuse_period(r));
 }
 
-void ToldAccount::watching(int router, int watches) {
+void NotificationOracle::set_watches(int router, int watches) {
   Router& r = routers_[static_cast<std::size_t>(router)];
   r.watches = watches;
-  if (watches > 0) r.silent_due = 0;  // a new watch is open
+  if (watches > 0) r.silent_deadline = 0;  // a new watch is open
 }
 
-void ToldAccount::silent(int router, Micros until, Micros now) {
+void NotificationOracle::on_silence(int router, Micros until, Micros now) {
   Router& r = routers_[static_cast<std::size_t>(router)];
   Micros due = std::max(now + kAfterSilence, until + kAfterWait);
-  r.silent_due = r.silent_due > 0 ? std::min(r.silent_due, due) : due;
+  r.silent_deadline = r.silent_deadline > 0 ? std::min(r.silent_deadline, due) : due;
 }
 
-void ToldAccount::back(Micros now) {
-  for (Router& r : routers_) r.hold = std::max(r.hold, now + hold_for(r));
+void NotificationOracle::on_recovery(Micros now) {
+  for (Router& r : routers_) r.excused_until = std::max(r.excused_until, now + excuse_period(r));
 }
 
-Micros ToldAccount::hold_for(const Router& r) const {
-  return (r.call_failed ? kFailedHolds : 1) * ask_within_;
+Micros NotificationOracle::excuse_period(const Router& r) const {
+  return (r.call_failed ? kFailedCallFactor : 1) * ask_within_;
 }
 
-Micros ToldAccount::due(const Router& r, const Change& change) const {
-  if (r.silent_due > 0) return std::max(change.made, r.silent_due);
+Micros NotificationOracle::notification_time(const Router& r, const Change& change) const {
+  if (r.silent_deadline > 0) return std::max(change.made, r.silent_deadline);
   if (pushed_) return change.made;
   if (r.watches > 0) return kNever;  // the router knows once it is written
-  return std::max(change.made + ask_within_, r.hold);
+  return std::max(change.made + ask_within_, r.excused_until);
 }
 
-void ToldAccount::advance(Micros now) {
+void NotificationOracle::advance(Micros now) {
   for (std::size_t k = 0; k < routers_.size(); ++k) {
     Router& r = routers_[k];
     // In the order of the changes, so that the latest of a price cache applies last.
-    auto rest = std::stable_partition(r.untold.begin(), r.untold.end(),
-                                      [&](const Change& c) { return due(r, c) <= now; });
-    for (auto it = r.untold.begin(); it != rest; ++it)
-      history_.told.push_back({static_cast<int>(k), it->server, it->health, due(r, *it)});
-    r.untold.erase(r.untold.begin(), rest);
+    auto rest = std::stable_partition(r.pending.begin(), r.pending.end(), [&](const Change& c) {
+      return notification_time(r, c) <= now;
+    });
+    for (auto it = r.pending.begin(); it != rest; ++it)
+      history_.told.push_back(
+          {static_cast<int>(k), it->server, it->health, notification_time(r, *it)});
+    r.pending.erase(r.pending.begin(), rest);
   }
 }
 
--- a/src/kit/standin/told.hpp
+++ b/src/kit/standin/told.hpp
@@ -12,26 +12,26 @@
 namespace violetusher::standin {
 
 /// Records the notification time of each change for each router in a History.
-class ToldAccount {
+class NotificationOracle {
  public:
   /// `pushed`: each router has its own discovery agent. `ask_within`: poll interval of the
   /// settings.
-  ToldAccount(kit::History& history, int routers, bool pushed, Micros ask_within);
+  NotificationOracle(kit::History& history, int routers, bool pushed, Micros ask_within);
 
   /// The list has changed. If pushed, the agents have the change at once.
-  void changed(int server, Health health, Micros now);
+  void on_change(int server, Health health, Micros now);
   /// All changes that the router did not have yet were written to it: `entries`.
-  void written(int router, const std::vector<std::pair<int, Health>>& entries, Micros now);
+  void on_written(int router, const std::vector<std::pair<int, Health>>& entries, Micros now);
   /// A call of the router has arrived.
-  void asked(int router, Micros now);
+  void on_call(int router, Micros now);
   /// A call was refused, or its watch ended in a way that the router can see.
-  void failed(int router, Micros now);
+  void on_failure(int router, Micros now);
   /// The router has `watches` open calls at discovery that will be answered.
-  void watching(int router, int watches);
+  void set_watches(int router, int watches);
   /// A watch has become silent; by its own parameters it may wait until `until`.
-  void silent(int router, Micros until, Micros now);
+  void on_silence(int router, Micros until, Micros now);
   /// Discovery is up again.
-  void back(Micros now);
+  void on_recovery(Micros now);
   /// Records the notifications whose time has come. Call several times a second.
   void advance(Micros now);
 
@@ -43,13 +43,14 @@
   };
   struct Router {
     int watches = 0;
-    Micros silent_due = 0;  // deadline for changes that a silent watch missed; 0: none is silent
-    Micros hold = 0;        // without a watch, the router need not know of changes before this
+    Micros silent_deadline =
+        0;                     // deadline for changes that a silent watch missed; 0: none is silent
+    Micros excused_until = 0;  // without a watch, the router need not know of changes before this
     bool call_failed = false;
-    std::vector<Change> untold;
+    std::vector<Change> pending;
   };
-  Micros due(const Router& router, const Change& change) const;
-  Micros hold_for(const Router& router) const;
+  Micros notification_time(const Router& router, const Change& change) const;
+  Micros excuse_period(const Router& router) const;
 
   kit::History& history_;
   bool pushed_;
--- a/tests/kit/common/common_test.cpp
+++ b/tests/kit/common/common_test.cpp
@@ -45,7 +45,7 @@
   EXPECT_NEAR(lognormal / n, 1, 5 * 0.37 / std::sqrt(n));
 }
 
-TEST(Zipf, GivesEachRankItsPart) {
+TEST(Zipf, GivesEachRankItsProbability) {
   const std::size_t keys = 50;
   Zipf zipf(keys, 1.1);
   double sum = 0;
@@ -72,7 +72,7 @@
   for (const char* bad : {"64", "64KB", "-1B", "1e300GiB"}) EXPECT_FALSE(parse_size(bad)) << bad;
 }
 
-RC_GTEST_PROP(Units, AnyTextIsReadOrTurnedAway, (const std::string& text)) {
+RC_GTEST_PROP(Units, AnyTextIsParsedOrRejected, (const std::string& text)) {
   auto span = parse_duration(text);
   if (span) RC_ASSERT(*span >= 0 && *span <= 86'400'000'000);
   parse_rate(text), parse_size(text), parse_percent(text);
@@ -120,7 +120,7 @@
   EXPECT_EQ(svg.find("nan"), svg.npos);
 }
 
-TEST(History, AnAttemptIsNotBookedBeforeItsRequestWasSent) {
+TEST(History, AnAttemptIsNotRecordedBeforeItsRequestWasSent) {
   History history;
   history.tries.push_back({.request = 7, .number = 1, .sent = 100});
   history.attempts.push_back({.request = 7, .attempt_try = 1, .first_byte = 40});
--- a/tests/kit/standin/wire_test.cpp
+++ b/tests/kit/standin/wire_test.cpp
@@ -14,9 +14,9 @@
 class RunningFleet {
  public:
   explicit RunningFleet(std::vector<Fault> faults = {}, FleetSpec spec = fast_spec(),
-                        std::vector<int> router_halls = {0, 1})
+                        std::vector<int> router_zones = {0, 1})
       : spec_(std::move(spec)), loop_(clock_) {
-    fleet_ = std::make_unique<Fleet>(loop_, spec_, std::move(faults), 1, router_halls, history_);
+    fleet_ = std::make_unique<Fleet>(loop_, spec_, std::move(faults), 1, router_zones, history_);
     thread_ = std::thread([this] {
       fleet_->start(clock_.now());
       loop_.run();
@@ -90,7 +90,7 @@
   return ::poll(&poll, 1, ms) == 0;
 }
 
-TEST(StandIn, ReadsThroughAndTellsHits) {
+TEST(StandIn, ReadsThroughAndReportsHits) {
   FleetSpec spec = RunningFleet::fast_spec();
   spec.held = 0;
   RunningFleet fleet({}, spec);
@@ -126,7 +126,7 @@
   EXPECT_EQ(client.line().rfind("VA 40 Oq2-0", 0), 0u);
 }
 
-TEST(StandIn, DropsRepeatsOverAllPriceCaches) {
+TEST(StandIn, RepeatedWritesRunOnceOverAllPriceCaches) {
   RunningFleet fleet;
   Client a(fleet.port(0)), b(fleet.port(1));
   a.send(write_of("q1-0", "s1"));
@@ -141,7 +141,7 @@
   EXPECT_TRUE(history.attempts[1].repeat);
 }
 
-TEST(StandIn, AWriteDropsTheOtherCopies) {
+TEST(StandIn, AWriteInvalidatesTheKeyAtOtherPriceCaches) {
   RunningFleet fleet;
   Client a(fleet.port(0)), b(fleet.port(1));
   b.send(read_of("q1-0"));
@@ -153,7 +153,7 @@
   EXPECT_NE(b.line().find(" h0"), std::string::npos);
 }
 
-TEST(StandIn, TurnsAwayBeyondItsWaitingRoom) {
+TEST(StandIn, AnswersBusyBeyondItsQueueLimit) {
   RunningFleet fleet;
   Client client(fleet.port());
   std::string all;
@@ -170,7 +170,7 @@
   EXPECT_EQ(busy, 8);
 }
 
-TEST(StandIn, TurnsAwayBeyondItsConnections) {
+TEST(StandIn, AnswersBusyBeyondItsConnectionLimit) {
   RunningFleet fleet;
   std::vector<std::unique_ptr<Client>> clients;
   for (int k = 0; k < 9; ++k) {
@@ -184,7 +184,7 @@
   EXPECT_EQ(clients.front()->line().rfind("VA", 0), 0u);
 }
 
-TEST(StandIn, ClosesOnWhatItCannotRead) {
+TEST(StandIn, ClosesOnMalformedCommands) {
   RunningFleet fleet;
   Client client(fleet.port());
   client.send("mg \r\n");
@@ -199,7 +199,7 @@
   EXPECT_EQ(client.read_all(), "");
 }
 
-TEST(StandIn, CrossingTakesItsTimeBothWays) {
+TEST(StandIn, NetworkDelayAppliesBothWays) {
   FleetSpec spec = RunningFleet::fast_spec();
   spec.cross = 60'000;
   RunningFleet fleet({}, spec);
@@ -216,7 +216,7 @@
 
 /// Guards against recording an answer when it is made: behind another answer it is written later,
 /// and the router cannot know of it before that.
-TEST(Record, AnAnswerBehindAnotherEndsWhenItsTurnHasCome) {
+TEST(Record, ABlockedAnswerEndsWhenItIsWritten) {
   RunningFleet fleet;
   Client client(fleet.port());
   client.send(read_of("q1-0", "a", 2000, 200'000) + "mn\r\n" + read_of("q2-0", "b", 2000, 1'000));
@@ -231,7 +231,7 @@
   EXPECT_EQ(fast.answered, kit::Answered::kServed);
 }
 
-TEST(Record, WhatIsOwedEndsWithTheConnection) {
+TEST(Record, UnansweredAttemptsEndWithTheConnection) {
   Fault reset = on_first(FaultKind::kResets);
   RunningFleet fleet({reset});
   Client client(fleet.port());
@@ -246,7 +246,7 @@
   EXPECT_EQ(attempts[0].ended, attempts[1].ended);
 }
 
-TEST(Record, BytesThatLieUnreadInACutCountFromWhenTheyCame) {
+TEST(Record, BytesUnreadDuringACutCountFromTheirArrival) {
   Fault cut = on_first(FaultKind::kHallCut, 1'500'000);
   cut.servers.clear();
   cut.hall = 1;
@@ -293,7 +293,7 @@
   EXPECT_NE(later.line().find(" h0"), std::string::npos);
 }
 
-TEST(Fault, VanishedIsSilentAndNewConnectionsNeverComeUp) {
+TEST(Fault, VanishedIsSilentAndConnectionsAreNeverEstablished) {
   Fault f = on_first(FaultKind::kVanishes, 1'500'000);
   f.from = 300'000;
   RunningFleet fleet({f});
@@ -321,7 +321,7 @@
   EXPECT_EQ(fleet.stop().attempts.size(), 1u);
 }
 
-TEST(Fault, LateAnswersAfterTheGivenTime) {
+TEST(Fault, LateAnswersAfterTheRequestTimeout) {
   Fault f = on_first(FaultKind::kLate);
   f.delay = 100'000;
   RunningFleet fleet({f});
@@ -332,7 +332,7 @@
   EXPECT_GE(std::chrono::steady_clock::now() - from, std::chrono::milliseconds(250));
 }
 
-TEST(Fault, SlowTakesItsFactor) {
+TEST(Fault, SlowMultipliesTheServiceTime) {
   Fault f = on_first(FaultKind::kSlow);
   f.factor = 10;
   RunningFleet fleet({f});
@@ -343,7 +343,7 @@
   EXPECT_GE(std::chrono::steady_clock::now() - from, std::chrono::milliseconds(80));
 }
 
-TEST(Fault, ErrorsBusyAndResetsComeAtTheirRateByRequest) {
+TEST(Fault, ErrorsBusyAndResetsDependOnTheRequestAlone) {
   for (FaultKind kind : {FaultKind::kErrors, FaultKind::kBusy, FaultKind::kResets}) {
     Fault f = on_first(kind);
     f.rate = 0.3;
@@ -369,7 +369,7 @@
   }
 }
 
-TEST(Fault, SpoiltAnswers) {
+TEST(Fault, MalformedAnswers) {
   auto answer = [](FaultKind kind) {
     RunningFleet fleet({on_first(kind)});
     Client client(fleet.port());
@@ -409,7 +409,7 @@
   EXPECT_GE(std::chrono::steady_clock::now() - from, std::chrono::milliseconds(150));
 }
 
-TEST(Fault, ReportsLateTellOldFigures) {
+TEST(Fault, ReportsLateContainOldFigures) {
   for (bool late : {false, true}) {
     Fault f = on_first(FaultKind::kReportsLate);
     f.delay = 60'000'000;
@@ -428,7 +428,7 @@
   }
 }
 
-TEST(Fault, FleetGrowsCold) {
+TEST(Fault, AJoiningServerStartsCold) {
   FleetSpec spec = RunningFleet::fast_spec();
   spec.servers.push_back({"pc-3", 0, 0, 0, 300'000});
   RunningFleet fleet({}, spec);
@@ -443,7 +443,7 @@
   EXPECT_EQ(list.substr(list.rfind('{', at), 14).find("\"born_ms\":0"), std::string::npos) << list;
 }
 
-TEST(Fault, HallCutIsSilentFromOtherHallsAlone) {
+TEST(Fault, ZonePartitionAffectsOtherZonesOnly) {
   Fault f;
   f.kind = FaultKind::kHallCut;
   f.until = 700'000;
@@ -462,7 +462,7 @@
   EXPECT_EQ(later.line().rfind("VA", 0), 0u);
 }
 
-TEST(Fault, HallSlowAddsItsDelay) {
+TEST(Fault, ZoneDelayIsAdded) {
   Fault f;
   f.kind = FaultKind::kHallSlow;
   f.until = 3'600'000'000;
@@ -476,7 +476,7 @@
   EXPECT_GE(std::chrono::steady_clock::now() - from, std::chrono::milliseconds(200));
 }
 
-TEST(Fault, DrainTurnsAwayAndShowsInTheList) {
+TEST(Fault, DrainAnswersBusyAndShowsInTheList) {
   Fault f = on_first(FaultKind::kDrain, 700'000);
   f.from = 100'000;
   RunningFleet fleet({f});
@@ -506,7 +506,7 @@
   EXPECT_NE(client.line().find("|pc-1+|"), std::string::npos);
 }
 
-TEST(Discovery, AWatchHearsOfChangesAndOfNoneInTime) {
+TEST(Discovery, AWatchReturnsChangesOrNothingAtItsTimeout) {
   Fault f = on_first(FaultKind::kDrain, 3'600'000'000);
   f.from = 600'000;
   RunningFleet fleet({f});
@@ -523,7 +523,7 @@
   EXPECT_EQ(history.told.back().health, Health::Draining);
 }
 
-TEST(Discovery, AWatchWhoseCallerHasGoneIsToldNothing) {
+TEST(Discovery, AClosedWatchIsNotNotified) {
   Fault f = on_first(FaultKind::kDrain, 3'600'000'000);
   f.from = 600'000;
   RunningFleet fleet({f});
