--- a/tests/kit/standin/wire_test.cpp
+++ b/tests/kit/standin/wire_test.cpp
@@ -1,4 +1,4 @@
-// Each fault as it is seen on the wire.
+// Tests the stand-ins and each of their faults over real connections, in real time.
 #include <thread>
 
 #include "../../net/net_support.hpp"
@@ -10,21 +10,21 @@
 using net::test::Client;
 using net::test::kTestTimeoutMs;
 
-/// A fleet on a thread of its own; faults go on from the start.
+/// A fleet that runs on its own thread; its day starts at once.
 class RunningFleet {
  public:
   explicit RunningFleet(std::vector<Fault> faults = {}, FleetSpec spec = fast_spec(),
-                        std::vector<int> router_halls = {0, 1})
+                        std::vector<int> router_zones = {0, 1})
       : spec_(std::move(spec)), loop_(clock_) {
-    fleet_ = std::make_unique<Fleet>(loop_, spec_, std::move(faults), 1, router_halls, history_);
+    fleet_ = std::make_unique<Fleet>(loop_, spec_, std::move(faults), 1, router_zones, history_);
     thread_ = std::thread([this] {
       fleet_->start(clock_.now());
       loop_.run();
     });
-    std::this_thread::sleep_for(std::chrono::milliseconds(60));  // faults of time 0 have begun
+    std::this_thread::sleep_for(std::chrono::milliseconds(60));  // faults from time 0 are active
   }
   ~RunningFleet() { stop(); }
-  /// Ends the thread; the history may be read then.
+  /// Stops the thread, after which the history may be read.
   kit::History& stop() {
     loop_.stop_from_outside();
     if (thread_.joinable()) thread_.join();
@@ -84,20 +84,20 @@
   return client.read_all();
 }
 
-/// Nothing comes within `ms`.
+/// Whether nothing arrives within `ms`.
 bool silent(Client& client, int ms) {
   pollfd poll{client.fd(), POLLIN, 0};
   return ::poll(&poll, 1, ms) == 0;
 }
 
-TEST(StandIn, ReadsThroughAndTellsHits) {
+TEST(StandIn, ReadsThroughAndReportsHits) {
   FleetSpec spec = RunningFleet::fast_spec();
   spec.held = 0;
   RunningFleet fleet({}, spec);
   Client client(fleet.port());
   client.send(read_of("q1-0"));
   EXPECT_EQ(client.line().rfind("VA 40 Oq1-0 h0", 0), 0u);
-  EXPECT_EQ(client.line().rfind("k|q1-0|pc-1|", 0), 0u);  // made for this request
+  EXPECT_EQ(client.line().rfind("k|q1-0|pc-1|", 0), 0u);  // the value names this request
   client.send(read_of("q2-0"));
   EXPECT_EQ(client.line().rfind("VA 40 Oq2-0 h1", 0), 0u);
   client.line();
@@ -126,14 +126,14 @@
   EXPECT_EQ(client.line().rfind("VA 40 Oq2-0", 0), 0u);
 }
 
-TEST(StandIn, DropsRepeatsOverAllPriceCaches) {
+TEST(StandIn, RepeatedWritesRunOnceOverAllPriceCaches) {
   RunningFleet fleet;
   Client a(fleet.port(0)), b(fleet.port(1));
   a.send(write_of("q1-0", "s1"));
   std::string first = a.line();
   b.send(write_of("q1-1", "s1"));
   std::string second = b.line();
-  EXPECT_EQ(first.substr(first.rfind(' ')), second.substr(second.rfind(' ')));  // one receipt
+  EXPECT_EQ(first.substr(first.rfind(' ')), second.substr(second.rfind(' ')));  // the same receipt
   a.send(write_of("q2-0", "s2"));
   a.line();
   kit::History& history = fleet.stop();
@@ -141,7 +141,7 @@
   EXPECT_TRUE(history.attempts[1].repeat);
 }
 
-TEST(StandIn, AWriteDropsTheOtherCopies) {
+TEST(StandIn, AWriteInvalidatesTheKeyAtOtherPriceCaches) {
   RunningFleet fleet;
   Client a(fleet.port(0)), b(fleet.port(1));
   b.send(read_of("q1-0"));
@@ -153,7 +153,7 @@
   EXPECT_NE(b.line().find(" h0"), std::string::npos);
 }
 
-TEST(StandIn, TurnsAwayBeyondItsWaitingRoom) {
+TEST(StandIn, AnswersBusyBeyondItsQueueLimit) {
   RunningFleet fleet;
   Client client(fleet.port());
   std::string all;
@@ -166,11 +166,11 @@
     busy += line == "SERVER_ERROR busy";
     if (line.rfind("VA", 0) == 0) ++served, client.line();
   }
-  EXPECT_EQ(served, 12);  // four cores and a room for eight
+  EXPECT_EQ(served, 12);  // four cores and a queue of eight
   EXPECT_EQ(busy, 8);
 }
 
-TEST(StandIn, TurnsAwayBeyondItsConnections) {
+TEST(StandIn, AnswersBusyBeyondItsConnectionLimit) {
   RunningFleet fleet;
   std::vector<std::unique_ptr<Client>> clients;
   for (int k = 0; k < 9; ++k) {
@@ -179,12 +179,12 @@
     EXPECT_EQ(clients.back()->line(), "MN");
   }
   clients.back()->send(read_of("q1-0"));
-  EXPECT_EQ(clients.back()->read_all(), "SERVER_ERROR busy\r\n");  // and a close
+  EXPECT_EQ(clients.back()->read_all(), "SERVER_ERROR busy\r\n");  // and the connection is closed
   clients.front()->send(read_of("q2-0"));
   EXPECT_EQ(clients.front()->line().rfind("VA", 0), 0u);
 }
 
-TEST(StandIn, ClosesOnWhatItCannotRead) {
+TEST(StandIn, ClosesOnMalformedCommands) {
   RunningFleet fleet;
   Client client(fleet.port());
   client.send("mg \r\n");
@@ -199,7 +199,7 @@
   EXPECT_EQ(client.read_all(), "");
 }
 
-TEST(StandIn, CrossingTakesItsTimeBothWays) {
+TEST(StandIn, NetworkDelayAppliesBothWays) {
   FleetSpec spec = RunningFleet::fast_spec();
   spec.cross = 60'000;
   RunningFleet fleet({}, spec);
@@ -214,8 +214,9 @@
   EXPECT_GE(time(1), 120);
 }
 
-/// An answer counts from when it is written, not from when it was made: before, nobody could know.
-TEST(Record, AnAnswerBehindAnotherEndsWhenItsTurnHasCome) {
+/// Guards against recording an answer when it is made: behind another answer it is written later,
+/// and the router cannot know of it before that.
+TEST(Record, ABlockedAnswerEndsWhenItIsWritten) {
   RunningFleet fleet;
   Client client(fleet.port());
   client.send(read_of("q1-0", "a", 2000, 200'000) + "mn\r\n" + read_of("q2-0", "b", 2000, 1'000));
@@ -230,7 +231,7 @@
   EXPECT_EQ(fast.answered, kit::Answered::kServed);
 }
 
-TEST(Record, WhatIsOwedEndsWithTheConnection) {
+TEST(Record, UnansweredAttemptsEndWithTheConnection) {
   Fault reset = on_first(FaultKind::kResets);
   RunningFleet fleet({reset});
   Client client(fleet.port());
@@ -245,7 +246,7 @@
   EXPECT_EQ(attempts[0].ended, attempts[1].ended);
 }
 
-TEST(Record, BytesThatLieUnreadInACutCountFromWhenTheyCame) {
+TEST(Record, BytesUnreadDuringACutCountFromTheirArrival) {
   Fault cut = on_first(FaultKind::kHallCut, 1'500'000);
   cut.servers.clear();
   cut.hall = 1;
@@ -262,11 +263,12 @@
   for (int lines = 0; lines < 6; ++lines) client.line();
   const auto& attempts = fleet.stop().attempts;
   ASSERT_EQ(attempts.size(), 3u);
-  for (const auto& a : attempts) EXPECT_GT(a.ended - a.first_byte, 300'000);  // all in the cut
-  // Each from its own first byte: the second command's came with the first.
+  for (const auto& a : attempts)
+    EXPECT_GT(a.ended - a.first_byte, 300'000);  // all arrived during the cut
+  // Each counts from its own first byte; the second command's first byte arrived with the first.
   EXPECT_EQ(attempts[0].first_byte, attempts[1].first_byte);
   EXPECT_GT(attempts[2].first_byte - attempts[1].first_byte, 200'000);
-  EXPECT_LT(attempts[2].begun - attempts[0].begun, 200'000);  // all read when it was over
+  EXPECT_LT(attempts[2].begun - attempts[0].begun, 200'000);  // all read after the cut
 }
 
 TEST(Fault, DiesResetsAndRefusesAndComesBackCold) {
@@ -291,7 +293,7 @@
   EXPECT_NE(later.line().find(" h0"), std::string::npos);
 }
 
-TEST(Fault, VanishedIsSilentAndNewConnectionsNeverComeUp) {
+TEST(Fault, VanishedIsSilentAndConnectionsAreNeverEstablished) {
   Fault f = on_first(FaultKind::kVanishes, 1'500'000);
   f.from = 300'000;
   RunningFleet fleet({f});
@@ -306,8 +308,8 @@
   EXPECT_EQ(::connect(fd.get(), reinterpret_cast<sockaddr*>(&to), sizeof to), -1);
   EXPECT_EQ(errno, EINPROGRESS);
   pollfd poll{fd.get(), POLLOUT, 0};
-  EXPECT_EQ(::poll(&poll, 1, 200), 0);  // neither up nor refused
-  EXPECT_EQ(client.read_all(), "");     // reset when it is back
+  EXPECT_EQ(::poll(&poll, 1, 200), 0);  // neither established nor refused
+  EXPECT_EQ(client.read_all(), "");     // reset when the server is back
 }
 
 TEST(Fault, MuteAcceptsAndNeverAnswers) {
@@ -319,7 +321,7 @@
   EXPECT_EQ(fleet.stop().attempts.size(), 1u);
 }
 
-TEST(Fault, LateAnswersAfterTheGivenTime) {
+TEST(Fault, LateAnswersAfterTheRequestTimeout) {
   Fault f = on_first(FaultKind::kLate);
   f.delay = 100'000;
   RunningFleet fleet({f});
@@ -330,7 +332,7 @@
   EXPECT_GE(std::chrono::steady_clock::now() - from, std::chrono::milliseconds(250));
 }
 
-TEST(Fault, SlowTakesItsFactor) {
+TEST(Fault, SlowMultipliesTheServiceTime) {
   Fault f = on_first(FaultKind::kSlow);
   f.factor = 10;
   RunningFleet fleet({f});
@@ -341,14 +343,14 @@
   EXPECT_GE(std::chrono::steady_clock::now() - from, std::chrono::milliseconds(80));
 }
 
-TEST(Fault, ErrorsBusyAndResetsComeAtTheirRateByRequest) {
+TEST(Fault, ErrorsBusyAndResetsDependOnTheRequestAlone) {
   for (FaultKind kind : {FaultKind::kErrors, FaultKind::kBusy, FaultKind::kResets}) {
     Fault f = on_first(kind);
     f.rate = 0.3;
     std::string outcomes[2];
     for (int run = 0; run < 2; ++run) {
       RunningFleet fleet({f});
-      // The second run asks in the other order: the same requests are struck.
+      // The second run sends in reverse order; the fault applies to the same requests.
       std::string seen(200, '?');
       for (int k = 0; k < 200; ++k) {
         int request = run == 0 ? k : 199 - k;
@@ -367,7 +369,7 @@
   }
 }
 
-TEST(Fault, SpoiltAnswers) {
+TEST(Fault, MalformedAnswers) {
   auto answer = [](FaultKind kind) {
     RunningFleet fleet({on_first(kind)});
     Client client(fleet.port());
@@ -407,7 +409,7 @@
   EXPECT_GE(std::chrono::steady_clock::now() - from, std::chrono::milliseconds(150));
 }
 
-TEST(Fault, ReportsLateTellOldFigures) {
+TEST(Fault, ReportsLateContainOldFigures) {
   for (bool late : {false, true}) {
     Fault f = on_first(FaultKind::kReportsLate);
     f.delay = 60'000'000;
@@ -422,11 +424,11 @@
     std::string last;
     for (int k = 0; k < 8; ++k) last = client.line(), client.line();
     bool idle = last.find("Lload_share=0.000") != last.npos;
-    EXPECT_EQ(idle, late) << last;  // what it said before the work came
+    EXPECT_EQ(idle, late) << last;  // the report from before the work
   }
 }
 
-TEST(Fault, FleetGrowsCold) {
+TEST(Fault, AJoiningServerStartsCold) {
   FleetSpec spec = RunningFleet::fast_spec();
   spec.servers.push_back({"pc-3", 0, 0, 0, 300'000});
   RunningFleet fleet({}, spec);
@@ -441,7 +443,7 @@
   EXPECT_EQ(list.substr(list.rfind('{', at), 14).find("\"born_ms\":0"), std::string::npos) << list;
 }
 
-TEST(Fault, HallCutIsSilentFromOtherHallsAlone) {
+TEST(Fault, ZonePartitionAffectsOtherZonesOnly) {
   Fault f;
   f.kind = FaultKind::kHallCut;
   f.until = 700'000;
@@ -455,12 +457,12 @@
   ::connect(fd.get(), reinterpret_cast<sockaddr*>(&to), sizeof to);
   pollfd poll{fd.get(), POLLOUT, 0};
   EXPECT_EQ(::poll(&poll, 1, 150), 0);
-  Client later(fleet.port(0, 1));  // comes up once the cut is over (the kernel knocks again)
+  Client later(fleet.port(0, 1));  // established after the cut, by a SYN retransmission
   later.send(read_of("q2-0"));
   EXPECT_EQ(later.line().rfind("VA", 0), 0u);
 }
 
-TEST(Fault, HallSlowAddsItsDelay) {
+TEST(Fault, ZoneDelayIsAdded) {
   Fault f;
   f.kind = FaultKind::kHallSlow;
   f.until = 3'600'000'000;
@@ -474,7 +476,7 @@
   EXPECT_GE(std::chrono::steady_clock::now() - from, std::chrono::milliseconds(200));
 }
 
-TEST(Fault, DrainTurnsAwayAndShowsInTheList) {
+TEST(Fault, DrainAnswersBusyAndShowsInTheList) {
   Fault f = on_first(FaultKind::kDrain, 700'000);
   f.from = 100'000;
   RunningFleet fleet({f});
@@ -484,7 +486,7 @@
   Client client(fleet.port());
   client.send(read_of("q1-0"));
   EXPECT_EQ(client.line(), "SERVER_ERROR busy");
-  EXPECT_EQ(client.read_all(), "");  // it leaves
+  EXPECT_EQ(client.read_all(), "");  // it stops after the drain
   std::this_thread::sleep_for(std::chrono::milliseconds(300));
   list = call(fleet.discovery_port(), "");
   EXPECT_EQ(list.find("\"pc-1\""), list.npos) << list;
@@ -504,7 +506,7 @@
   EXPECT_NE(client.line().find("|pc-1+|"), std::string::npos);
 }
 
-TEST(Discovery, AWatchHearsOfChangesAndOfNoneInTime) {
+TEST(Discovery, AWatchReturnsChangesOrNothingAtItsTimeout) {
   Fault f = on_first(FaultKind::kDrain, 3'600'000'000);
   f.from = 600'000;
   RunningFleet fleet({f});
@@ -521,7 +523,7 @@
   EXPECT_EQ(history.told.back().health, Health::Draining);
 }
 
-TEST(Discovery, AWatchWhoseCallerHasGoneIsToldNothing) {
+TEST(Discovery, AClosedWatchIsNotNotified) {
   Fault f = on_first(FaultKind::kDrain, 3'600'000'000);
   f.from = 600'000;
   RunningFleet fleet({f});
@@ -531,7 +533,7 @@
   std::string head = "GET /discovery/hosts?index=" + seq;
   for (int calls = 1; calls <= 2; ++calls) {
     Client caller(fleet.discovery_port());
-    for (int k = 1; k < calls; ++k) {  // the connection has carried a call before
+    for (int k = 1; k < calls; ++k) {  // earlier calls on the same connection
       caller.send(head + "&wait=50 HTTP/1.1\r\nHost: x\r\n\r\n");
       EXPECT_EQ(caller.line(), "HTTP/1.1 200 OK");
     }
@@ -549,7 +551,7 @@
   f.until = 1'000'000;
   RunningFleet fleet({f});
   std::string watch = call(fleet.discovery_port(), "?index=100&wait=20000");
-  EXPECT_NE(watch.find("\"whole\":true"), watch.npos);  // a version of another life
+  EXPECT_NE(watch.find("\"whole\":true"), watch.npos);  // a version of an earlier process
   watch = call(fleet.discovery_port(), "?index=3&wait=20000");
   EXPECT_NE(watch.find(" 503 "), watch.npos) << watch;
   EXPECT_NE(call(fleet.discovery_port(), "").find(" 503 "), std::string::npos);
