--- a/src/kit/config/command.cpp
+++ b/src/kit/config/command.cpp
@@ -1,3 +1,4 @@
+// Implements the subcommands of `config`.
 #include "command.hpp"
 
 #include <cstdio>
@@ -29,7 +30,7 @@
   for (const auto& d : compiled.diagnostics.list())
     std::fprintf(stderr, "%s", compiled.sources.show(d).c_str());
   if (compiled.diagnostics.count() > compiled.diagnostics.list().size())
-    std::fprintf(stderr, "and more: only the first %zu are shown\n",
+    std::fprintf(stderr, "more errors were found; only the first %zu are shown\n",
                  compiled.diagnostics.list().size());
   return compiled;
 }
@@ -38,7 +39,7 @@
   auto compiled = compile(path);
   if (!compiled || !compiled->diagnostics.none()) return kWrongInput;
   const auto& m = compiled->model;
-  std::printf("%s: %zu routes, %zu pools, %zu limits, %zu budgets in %zu files: good\n",
+  std::printf("%s: %zu routes, %zu pools, %zu limits, %zu budgets in %zu files: valid\n",
               path.c_str(), m.routes.size(), m.pools.size(), m.limits.size(), m.budgets.size(),
               compiled->sources.count());
   return 0;
@@ -59,7 +60,7 @@
   std::string formatted = config::format(tree);
   if (only_check) {
     if (formatted == text) return 0;
-    std::fprintf(stderr, "%s: not in its canonical form\n", path.c_str());
+    std::fprintf(stderr, "%s: not in canonical form\n", path.c_str());
     return kDiffers;
   }
   if (!write) {
@@ -71,7 +72,8 @@
   return kWrongInput;
 }
 
-/// The keys that move, given a discovery list. False where that can't be read.
+/// Adds the share of keys that move to another server of the host list `list`. Returns false, with
+/// the reason on stderr, if the list can't be read.
 bool add_moved_keys(const config::Model& before, const config::Model& after,
                     const std::string& list, int keys, std::vector<config::Change>& changes) {
   std::string text, error = net::read_regular_file(list, text);
@@ -90,7 +92,7 @@
   for (const auto& m : config::moved_keys(before, after, servers, keys)) {
     std::string what = percent(m.share) + " of keys move to another server (" + name(m.before) +
                        " -> " + name(m.after) + ")";
-    if (m.nobody > 0) what += "; " + percent(m.nobody) + " have none";
+    if (m.nobody > 0) what += "; " + percent(m.nobody) + " have no server";
     changes.push_back({"keys", config::subject_of(m.match), what, m.match});
   }
   return true;
@@ -110,7 +112,7 @@
   } else {
     for (const auto& c : changes)
       std::printf("%s %s: %s\n", c.kind.c_str(), c.subject.c_str(), c.what.c_str());
-    if (changes.empty()) std::printf("nothing changes in effect\n");
+    if (changes.empty()) std::printf("no effective changes\n");
   }
   return changes.empty() ? 0 : kDiffers;
 }
@@ -135,26 +137,26 @@
   CLI::App* sub =
       app.add_subcommand("config", "Checks, formats, compares and explains operator files");
   sub->require_subcommand(1);
-  CLI::App* c =
-      sub->add_subcommand("check", "Tells everything that is wrong, with file, line and column");
+  CLI::App* c = sub->add_subcommand("check", "Reports all errors with file, line and column");
   c->add_option("file", o->file)->required();
   c->callback([o, &code] { code = check(o->file); });
   CLI::App* f = sub->add_subcommand("fmt", "Prints the canonical form");
   f->add_option("file", o->file)->required();
-  f->add_flag("--check", o->check, "print nothing; exit code 1 where the file is not in that form");
-  f->add_flag("--write", o->write, "write it back");
+  f->add_flag("--check", o->check,
+              "print nothing; exit code 1 if the file is not in canonical form");
+  f->add_flag("--write", o->write, "rewrite the file in place");
   f->callback([o, &code] { code = format(o->file, o->check, o->write); });
   CLI::App* d =
-      sub->add_subcommand("diff", "What changes in effect; exit code 1 where anything does");
+      sub->add_subcommand("diff", "Shows the effective changes; exit code 1 if there are any");
   d->add_option("old", o->file)->required();
   d->add_option("new", o->other)->required();
-  d->add_option("--list", o->list, "a discovery list (JSON): tell the share of keys that move");
-  d->add_option("--keys", o->keys, "sample keys for that")
+  d->add_option("--list", o->list, "a host list (JSON): also report the share of keys that move");
+  d->add_option("--keys", o->keys, "number of keys sampled for --list")
       ->check(CLI::Range(100, 1'000'000))
       ->capture_default_str();
   d->add_flag("--json", o->json);
   d->callback([o, &code] { code = diff(o->file, o->other, o->list, o->keys, o->json); });
-  CLI::App* e = sub->add_subcommand("explain", "The route that a request takes, step by step");
+  CLI::App* e = sub->add_subcommand("explain", "Explains step by step which route a request takes");
   e->add_option("file", o->file)->required();
   e->add_option("--class", o->type);
   e->add_option("--tenant", o->tenant);
--- a/src/kit/config/command.hpp
+++ b/src/kit/config/command.hpp
@@ -5,6 +5,7 @@
 
 namespace violetusher::kit {
 
+/// Adds the subcommand to `app`; its exit code is written to `code`.
 void add_config(CLI::App& app, int& code);
 
 }  // namespace violetusher::kit
--- a/src/kit/flight/page.cpp
+++ b/src/kit/flight/page.cpp
@@ -1,3 +1,4 @@
+// The HTML page and the SVG waterfall of requests in a flight recording.
 #include <algorithm>
 #include <cstdio>
 
@@ -70,7 +71,7 @@
     part(a.sent, written, kConnecting, "waiting for a connection");
     part(written, free, kBehind, "behind others");
     part(free, stop, kServing, "at the server");
-    // Beside the bar, or in it where it ends too far right.
+    // The status stands beside the bar, or inside it if there is no room to its right.
     bool room = x_of(stop) < kWidth - 130;
     std::string status = a.ended ? core::flight::name_of(a.status) : "open";
     svg += room ? label(x_of(stop) + 6, y + 13, status, "start")
--- a/src/kit/flight/show.cpp
+++ b/src/kit/flight/show.cpp
@@ -1,3 +1,4 @@
+// Loads flight recordings and rehearsal histories, and formats them as text and JSON.
 #include "show.hpp"
 
 #include <algorithm>
@@ -20,8 +21,9 @@
 using core::flight::Timeline;
 using Json = nlohmann::ordered_json;
 
-/// Ids come from outside: what a terminal would take for more than text is shown as \xNN.
-std::string plain(const std::string& text) {
+/// Escapes bytes other than printable ASCII as \xNN: ids come from clients and could hold terminal
+/// control sequences.
+std::string escape_unprintable(const std::string& text) {
   std::string out;
   for (unsigned char c : text) {
     char hex[8];
@@ -31,28 +33,28 @@
   return out;
 }
 
-std::string milliseconds(Micros span) {
+std::string milliseconds_text(Micros span) {
   char text[32];
   std::snprintf(text, sizeof text, "%+10.3f ms", static_cast<double>(span) / 1000);
   return text;
 }
 
-/// What a record says, without its time.
-std::string words(const Record& r) {
+/// Describes a record, without its time.
+std::string describe_record(const Record& r) {
   std::string text = name_of(r.kind);
   if (r.attempt >= 0) text += " attempt " + std::to_string(r.attempt + 1);
-  std::string name = plain(r.text_string());
+  std::string name = escape_unprintable(r.text_string());
   switch (r.kind) {
     case Kind::kReceived:
-      return text + " as " + name + ", " + duration_text(r.value) + " to go";
+      return text + " as " + name + ", " + duration_text(r.value) + " to the deadline";
     case Kind::kRouted:
       return text + " to pool " + name;
     case Kind::kSent:
     case Kind::kMoved:
       return text + " to " + name + " by connection " + std::to_string(r.number) +
-             (r.value > 0 ? ", " + std::to_string(r.value) + " before it" : "");
+             (r.value > 0 ? ", " + std::to_string(r.value) + " requests ahead" : "");
     case Kind::kNoConnection:
-      return text + " to " + name + " had room, of " + std::to_string(r.value);
+      return text + " to " + name + " had room (" + std::to_string(r.value) + " connections)";
     case Kind::kWritten:
       return text + " to connection " + std::to_string(r.number);
     case Kind::kEnd:
@@ -61,7 +63,7 @@
       return text + " by " + name_of(r.why);
     case Kind::kRefused:
       return text + " by " + name_of(r.why) +
-             (r.value > 0 ? ", come back after " + duration_text(r.value) : "");
+             (r.value > 0 ? ", retry after " + duration_text(r.value) : "");
     case Kind::kFailed:
       return text + " by " + name_of(r.why);
     case Kind::kLate:
@@ -102,7 +104,7 @@
   return true;
 }
 
-bool load_history(const std::string& path, FarSides& sides, std::string& error) {
+bool load_history(const std::string& path, FarSides& server_side, std::string& error) {
   std::ifstream file(path);
   if (!file) {
     error = path + ": can't be read";
@@ -112,9 +114,9 @@
   for (int number = 1; std::getline(file, text); ++number) {
     try {
       Json j = Json::parse(text);
-      sides[j.at("id")].push_back({j.at("server"), j.at("answered"), j.at("router"),
-                                   j.at("first_byte_us"), j.at("begun_us"), j.at("made_us"),
-                                   j.at("ended_us")});
+      server_side[j.at("id")].push_back({j.at("server"), j.at("answered"), j.at("router"),
+                                         j.at("first_byte_us"), j.at("begun_us"), j.at("made_us"),
+                                         j.at("ended_us")});
     } catch (const Json::exception& e) {
       error = path + ":" + std::to_string(number) + ": " + e.what();
       return false;
@@ -124,9 +126,10 @@
 }
 
 std::string one_line(const Timeline& line) {
-  std::string text = "request " + std::to_string(line.request) + " " +
-                     (line.id.empty() ? "(taken before the recording)" : plain(line.id)) + ": " +
-                     end_text(line);
+  std::string text =
+      "request " + std::to_string(line.request) + " " +
+      (line.id.empty() ? "(received before the recording began)" : escape_unprintable(line.id)) +
+      ": " + end_text(line);
   if (line.whole) {
     TimeBreakdown p = line.parts();
     text += " after " + duration_text(line.took()) + ": " + duration_text(p.router) +
@@ -142,33 +145,32 @@
   std::string text;
   if (line.end == Kind::kRefused || line.end == Kind::kFailed) {
     static const std::map<Reason, const char*> kWhy = {
-        {Reason::kModule,
-         "the decision module chose to: no attempt that it could still make was worth it"},
+        {Reason::kModule, "the decision module found no further attempt worthwhile"},
         {Reason::kNoRoute, "the operator file has no route for it"},
-        {Reason::kLimit, "a limit or a banner's share of the operator file was reached"},
-        {Reason::kBudget, "the retry budget of its route or pool had nothing left"},
-        {Reason::kRequestLimit, "as many requests were open as the router may hold"},
-        {Reason::kMemoryLimit, "open requests held as much memory as they may"},
-        {Reason::kDeadline, "its time was over"},
-        {Reason::kClientLeft, "its client had ended its sending"},
-        {Reason::kShutdown, "the router ended"},
-        {Reason::kBadCommand, "its command can't be used"}};
+        {Reason::kLimit, "a limit or a tenant's share set in the operator file was reached"},
+        {Reason::kBudget, "the retry budget of its route or pool was exhausted"},
+        {Reason::kRequestLimit, "the router's limit of open requests was reached"},
+        {Reason::kMemoryLimit, "the memory limit of open requests was reached"},
+        {Reason::kDeadline, "its deadline had passed"},
+        {Reason::kClientLeft, "its client had closed its side of the connection"},
+        {Reason::kShutdown, "the router shut down"},
+        {Reason::kBadCommand, "its command was invalid"}};
     auto at = kWhy.find(line.why);
     text += std::string(line.end == Kind::kRefused ? "Refused" : "Failed") + ": " +
             (at == kWhy.end() ? name_of(line.why) : at->second) + ".\n";
   }
   for (const AttemptTimeline& a : line.attempts) {
     text += "Attempt " + std::to_string(a.attempt + 1) + " at " +
-            (a.server.empty() ? "?" : plain(a.server));
+            (a.server.empty() ? "?" : escape_unprintable(a.server));
     if (!a.sent)
-      text += " was never given to a connection";
+      text += " was never assigned to a connection";
     else if (!a.ended)
-      text += " was still out when the recording ended";
+      text += " was still open when the recording ended";
     else
       text += " took " + duration_text(a.ended - a.sent) + ": " + duration_text(a.connecting()) +
               " until it was written, " + duration_text(a.behind()) + " behind others (" +
-              std::to_string(a.ahead) + " before it on connection " + std::to_string(a.connection) +
-              "), " + duration_text(a.serving()) + " at the server";
+              std::to_string(a.ahead) + " ahead of it on connection " +
+              std::to_string(a.connection) + "), " + duration_text(a.serving()) + " at the server";
     if (a.ended) text += std::string("; ended ") + name_of(a.status);
     text += ".\n";
   }
@@ -176,44 +178,44 @@
     text += std::string("Most of its ") + duration_text(line.took()) + " went " +
             line.parts().largest() + ".\n";
   else if (!line.whole)
-    text += "The recording does not have all of it.\n";
+    text += "The recording does not cover the whole request.\n";
   return text;
 }
 
 std::string show_request(const std::string& router, const Timeline& line,
-                         const std::vector<FarSide>* sides) {
+                         const std::vector<FarSide>* server_side) {
   std::string text = router + " " + one_line(line) + "\n";
   Micros origin = line.taken ? line.taken : line.records.empty() ? 0 : line.records.front().at;
   std::vector<std::pair<Micros, std::string>> events;
-  for (const Record& r : line.records) events.emplace_back(r.at, words(r));
-  if (sides)
-    for (const FarSide& s : *sides) {
-      std::string who = "            | " + s.server + " ";
-      events.emplace_back(s.first_byte, who + "has its first byte");
-      events.emplace_back(s.begun, who + "read it");
-      if (s.made) events.emplace_back(s.made, who + "made its answer");
-      if (s.ended) events.emplace_back(s.ended, who + "ended it: " + s.answered);
+  for (const Record& r : line.records) events.emplace_back(r.at, describe_record(r));
+  if (server_side)
+    for (const FarSide& s : *server_side) {
+      std::string prefix = "            | " + s.server + " ";
+      events.emplace_back(s.first_byte, prefix + "received its first byte");
+      events.emplace_back(s.begun, prefix + "read it");
+      if (s.made) events.emplace_back(s.made, prefix + "produced its response");
+      if (s.ended) events.emplace_back(s.ended, prefix + "finished it: " + s.answered);
     }
   std::stable_sort(events.begin(), events.end(),
                    [](auto& a, auto& b) { return a.first < b.first; });
   for (const auto& [at, what] : events)
-    text += "  " + milliseconds(at - origin) + "  " + what + "\n";
+    text += "  " + milliseconds_text(at - origin) + "  " + what + "\n";
   return text;
 }
 
 std::string stats_text(const Flight& f) {
   auto s = core::flight::stats_of(f.recording, f.lines);
   std::string text = f.recording.name + ": " + std::to_string(f.recording.records.size()) +
-                     " records, " + std::to_string(f.recording.overwritten) + " written over; " +
+                     " records, " + std::to_string(f.recording.overwritten) + " overwritten; " +
                      std::to_string(s.requests) + " requests: " + std::to_string(s.answered) +
                      " served, " + std::to_string(s.refused) + " refused, " +
                      std::to_string(s.failed) + " failed, " + std::to_string(s.gone) + " left, " +
                      std::to_string(s.open) + " open\n";
   text += "  " + std::to_string(s.dials) + " dials, " + std::to_string(s.dials_failed) +
-          " in vain, " + std::to_string(s.no_connection) +
-          " attempts without room on a connection; " + std::to_string(s.late) + " answers late, " +
-          std::to_string(s.second) + " second answers stopped, " + std::to_string(s.after) +
-          " attempts after the answer stopped\n";
+          " failed, " + std::to_string(s.no_connection) +
+          " attempts without room on a connection; " + std::to_string(s.late) +
+          " late responses, " + std::to_string(s.second) + " duplicate responses suppressed, " +
+          std::to_string(s.after) + " attempts after the response suppressed\n";
   for (const auto& [reason, count] : s.reasons)
     text += "  " + reason + ": " + std::to_string(count) + "\n";
   TimeBreakdown all;
@@ -226,7 +228,7 @@
     auto share = [&](Micros part) {
       return percent(static_cast<double>(part) / static_cast<double>(all.total()));
     };
-    text += "  the time of all: " + share(all.serving) + " at servers, " + share(all.behind) +
+    text += "  total time: " + share(all.serving) + " at servers, " + share(all.behind) +
             " behind others, " + share(all.connecting) + " waiting for connections, " +
             share(all.router) + " in the router\n";
   }
@@ -238,7 +240,8 @@
       text += ", " + reason + " " + std::to_string(count);
     text += "\n";
   }
-  for (const std::string& problem : f.recording.problems) text += "  not whole: " + problem + "\n";
+  for (const std::string& problem : f.recording.problems)
+    text += "  incomplete recording: " + problem + "\n";
   return text;
 }
 
@@ -274,8 +277,8 @@
 std::string request_json(const std::string& router, const Timeline& line) {
   Json j{{"router", router},
          {"request", line.request},
-         {"id", plain(line.id)},
-         {"pool", plain(line.pool)},
+         {"id", escape_unprintable(line.id)},
+         {"pool", escape_unprintable(line.pool)},
          {"taken_us", line.taken},
          {"took_us", line.took()},
          {"end", name_of(line.end)},
@@ -286,7 +289,7 @@
          {"attempts", Json::array()},
          {"events", Json::array()}};
   for (const AttemptTimeline& a : line.attempts)
-    j["attempts"].push_back({{"server", plain(a.server)},
+    j["attempts"].push_back({{"server", escape_unprintable(a.server)},
                              {"connection", a.connection},
                              {"ahead", a.ahead},
                              {"sent_us", a.sent},
@@ -294,7 +297,8 @@
                              {"behind_us", a.behind()},
                              {"serving_us", a.serving()},
                              {"status", name_of(a.status)}});
-  for (const Record& r : line.records) j["events"].push_back({{"at_us", r.at}, {"what", words(r)}});
+  for (const Record& r : line.records)
+    j["events"].push_back({{"at_us", r.at}, {"what", describe_record(r)}});
   return j.dump();
 }
 
--- a/src/kit/flight/show.hpp
+++ b/src/kit/flight/show.hpp
@@ -1,5 +1,5 @@
-// Recordings for people and machines: one request's life, the slowest, counts, and several
-// recordings merged by the clients' ids, with what the stand-ins of a rehearsal saw beside them.
+// Reports on flight recordings as text, JSON and HTML: single requests, counts, and recordings of
+// several routers merged by client id, optionally with the events at a rehearsal's stand-ins.
 #pragma once
 
 #include <map>
@@ -10,40 +10,44 @@
 
 namespace violetusher::kit {
 
-/// A recording with its requests.
+/// A recording and the timelines of its requests.
 struct Flight {
   core::flight::Recording recording;
   std::vector<core::flight::Timeline> lines;
 };
 
-/// Reads a file. False, with file and reason in `error`, where it is no recording that can be read;
-/// what is not whole is in the recording's problems.
+/// Reads a recording. Returns false, with file and reason in `error`, if it can't be read; damaged
+/// or missing parts are listed in the recording's problems.
 bool load_flight(const std::string& path, Flight& flight, std::string& error);
 
-/// An attempt as the other side of the hop saw it, from a rehearsal's history.
+/// An attempt as the stand-in server recorded it in a rehearsal's history.
 struct FarSide {
   std::string server, answered;
   int router = -1;
   Micros first_byte = 0, begun = 0, made = 0, ended = 0;
 };
-/// By the id of the till's try. False with the reason, file and line, where a line can't be read.
+/// Server-side attempts by the request id that the till sent.
 using FarSides = std::map<std::string, std::vector<FarSide>>;
-bool load_history(const std::string& path, FarSides& sides, std::string& error);
+/// Reads a rehearsal's history. Returns false, with file, line and reason in `error`, if a line
+/// can't be parsed.
+bool load_history(const std::string& path, FarSides& server_side, std::string& error);
 
-/// One request's life, a line an event, with the part that cost the time. `sides` may be null.
+/// A request's summary and its events, one per line. `server_side` may be null.
 std::string show_request(const std::string& router, const core::flight::Timeline& line,
-                         const std::vector<FarSide>* sides = nullptr);
-/// The request in one line.
+                         const std::vector<FarSide>* server_side = nullptr);
+/// Summarizes the request in one line: outcome, duration and its breakdown.
 std::string one_line(const core::flight::Timeline& line);
-/// Why it took long, or was not served, in words.
+/// Explains why the request took long or was not served.
 std::string why_text(const core::flight::Timeline& line);
+/// Counts of a recording's outcomes and reasons, as text and as JSON.
 std::string stats_text(const Flight& flight);
 std::string stats_json(const Flight& flight);
+/// A request with its attempts and events as JSON.
 std::string request_json(const std::string& router, const core::flight::Timeline& line);
 
-/// The request as SVG: a bar for each attempt, its parts in colours.
+/// The request as SVG: a bar per attempt, with a colour per part of its time.
 std::string waterfall(const core::flight::Timeline& line);
-/// One self-contained page of the given requests.
+/// One self-contained HTML page of the given requests; `stats` may be null.
 std::string flight_page(
     const std::string& title, const Flight* stats,
     const std::vector<std::pair<std::string, const core::flight::Timeline*>>& lines);
--- a/src/kit/main.cpp
+++ b/src/kit/main.cpp
@@ -1,4 +1,4 @@
-// violetusher-kit: the test and rehearsal kit, one subcommand a tool.
+// violetusher-kit: the test and rehearsal kit, one tool per subcommand.
 //
 // Exit codes: 0 pass, 1 fail, 2 wrong input or usage, 3 inconclusive.
 #include <signal.h>
@@ -37,7 +37,7 @@
   } catch (const CLI::ParseError& e) {
     return app.exit(e) == 0 ? 0 : 2;
   } catch (const std::exception& e) {
-    // The machine gave no socket, process or memory: nothing was judged.
+    // A socket, process or memory could not be allocated, so the result is inconclusive.
     std::fprintf(stderr, "violetusher-kit: %s\n", e.what());
     return 3;
   }
