--- a/src/kit/soak/actors.cpp
+++ b/src/kit/soak/actors.cpp
@@ -1,3 +1,4 @@
+// Implements the threads that act on the routers of a soak run.
 #include "actors.hpp"
 
 #include <poll.h>
@@ -11,10 +12,10 @@
 namespace {
 
 constexpr Micros kMillisecond = 1000, kSecond = 1'000'000;
-constexpr Micros kStep = 5 * kMillisecond;
-constexpr Micros kAnswerWithin = 2 * kSecond;
-// A call that did not come through, as its router was down, is made again.
-constexpr Micros kCallAgain = 200 * kMillisecond;
+constexpr Micros kClockPollInterval = 5 * kMillisecond;
+constexpr Micros kResponseTimeout = 2 * kSecond;
+// A call that failed because its router was down is retried.
+constexpr Micros kRetryInterval = 200 * kMillisecond;
 
 net::Fd connect_to(const std::string& address) {
   auto to = net::parse_address(address);
@@ -24,12 +25,13 @@
   return fd;
 }
 
-/// The whole answer to one line; what has come where it does not end in time.
-std::string ask(const std::string& address, const std::string& line) {
+/// Sends a command line and returns the response; what was received by the timeout if it is
+/// incomplete.
+std::string send_command(const std::string& address, const std::string& line) {
   net::Fd fd = connect_to(address);
   if (!fd || ::send(fd.get(), line.data(), line.size(), MSG_NOSIGNAL) < 0) return {};
   std::string text;
-  for (Micros waited = 0; waited < kAnswerWithin; waited += 50 * kMillisecond) {
+  for (Micros waited = 0; waited < kResponseTimeout; waited += 50 * kMillisecond) {
     pollfd ready{fd.get(), POLLIN, 0};
     if (::poll(&ready, 1, 50) <= 0) continue;
     char bytes[256];
@@ -51,7 +53,8 @@
   origin_ = origin;
   for (const Ban& one : schedule_.bans) threads_.emplace_back([this, &one] { ban(one); });
   for (const Signals& one : schedule_.signals) threads_.emplace_back([this, &one] { signal(one); });
-  for (const Crowd& one : schedule_.crowds) threads_.emplace_back([this, &one] { crowd(one); });
+  for (const MisbehavingClients& one : schedule_.misbehaving)
+    threads_.emplace_back([this, &one] { misbehaving_clients(one); });
 }
 
 void Actors::join() {
@@ -62,10 +65,10 @@
             [](const BanCall& a, const BanCall& b) { return a.called < b.called; });
 }
 
-/// False where the run ended first.
+/// Returns false if the run ends first.
 bool Actors::wait_until(Micros at) const {
   while (!stop_ && clock_->now() < origin_ + at)
-    std::this_thread::sleep_for(std::chrono::microseconds(kStep));
+    std::this_thread::sleep_for(std::chrono::microseconds(kClockPollInterval));
   return !stop_;
 }
 
@@ -74,21 +77,21 @@
   if (wait_until(ban.until)) call(ban, false);
 }
 
-void Actors::call(const Ban& ban, bool out) {
+void Actors::call(const Ban& ban, bool offline) {
   const Router& router = routers_[static_cast<std::size_t>(ban.router)];
   for (int tries = 0; tries < 10 && !stop_; ++tries) {
-    BanCall call{ban.router, ban.server, out, clock_->now(), 0, false};
+    BanCall call{ban.router, ban.server, offline, clock_->now(), 0, false};
     std::string answer =
-        ask(router.operators, (out ? "OFFLINE " : "ONLINE ") + ban.server + "\r\n");
-    bool whole = answer.find('\n') != answer.npos;
-    call.answered = whole ? clock_->now() : 0;
-    call.yes = whole && answer.rfind("SUCCESS", 0) == 0;
+        send_command(router.operators, (offline ? "OFFLINE " : "ONLINE ") + ban.server + "\r\n");
+    bool complete = answer.find('\n') != answer.npos;
+    call.answered = complete ? clock_->now() : 0;
+    call.accepted = complete && answer.rfind("SUCCESS", 0) == 0;
     {
       std::lock_guard lock(mutex_);
       calls_.push_back(call);
     }
-    if (call.yes) return;
-    std::this_thread::sleep_for(std::chrono::microseconds(kCallAgain));
+    if (call.accepted) return;
+    std::this_thread::sleep_for(std::chrono::microseconds(kRetryInterval));
   }
 }
 
@@ -97,16 +100,18 @@
   for (int k = 0; k < signals.count && !stop_; ++k) {
     int pid = routers_[static_cast<std::size_t>(signals.router)].pid();
     if (pid > 0) ::kill(pid, signals.number);
-    std::this_thread::sleep_for(std::chrono::microseconds(signals.apart));
+    std::this_thread::sleep_for(std::chrono::microseconds(signals.interval));
   }
 }
 
-/// Some say nothing, some stop in the middle of a command, some leave and come again.
-void Actors::crowd(const Crowd& crowd) {
-  if (!wait_until(crowd.from)) return;
-  const Router& router = routers_[static_cast<std::size_t>(crowd.router)];
-  std::vector<net::Fd> open(static_cast<std::size_t>(crowd.connections));
-  for (std::size_t turn = 0; !stop_ && clock_->now() < origin_ + crowd.until; ++turn) {
+/// Connects clients of which some send nothing, some a partial command and some a no-op, and closes
+/// and reconnects them in turn.
+void Actors::misbehaving_clients(const MisbehavingClients& misbehaving_clients) {
+  if (!wait_until(misbehaving_clients.from)) return;
+  const Router& router = routers_[static_cast<std::size_t>(misbehaving_clients.router)];
+  std::vector<net::Fd> open(static_cast<std::size_t>(misbehaving_clients.connections));
+  for (std::size_t turn = 0; !stop_ && clock_->now() < origin_ + misbehaving_clients.until;
+       ++turn) {
     net::Fd& one = open[turn % open.size()];
     one = connect_to(router.clients);
     if (one && turn % 3 == 1) ::send(one.get(), "mg k", 4, MSG_NOSIGNAL);
--- a/src/kit/soak/actors.hpp
+++ b/src/kit/soak/actors.hpp
@@ -1,5 +1,5 @@
-// Who acts on a run beside its tills: operators, a crowd of clients that do not ask, and whoever
-// sends signals. Each is a thread that follows its part of the schedule.
+// Acts on the routers of a run beside its tills: operator calls, misbehaving clients and signals.
+// Each is a thread that follows its part of the schedule.
 #pragma once
 
 #include <atomic>
@@ -14,36 +14,38 @@
 
 namespace violetusher::soak {
 
-/// What was asked of a router and what it said.
+/// An operator's call to a router, and its response.
 struct BanCall {
   int router = 0;
   std::string server;
-  bool out = false;
-  Micros called = 0, answered = 0;  ///< answered 0: no whole answer came
-  bool yes = false;
+  bool offline = false;             ///< true: ban the server; false: lift the ban
+  Micros called = 0, answered = 0;  ///< answered 0: no complete response was received
+  bool accepted = false;
 };
 
+/// Runs the bans, signals and misbehaving clients of a schedule against the routers.
 class Actors {
  public:
   struct Router {
     std::string clients, operators;  ///< addresses
-    std::function<int()> pid;        ///< 0 while it does not run; from any thread
+    std::function<int()> pid;        ///< 0 while it is not running; callable from any thread
   };
 
   Actors(const Schedule& schedule, std::vector<Router> routers);
   ~Actors() { join(); }
-  /// The times of the schedule count from `origin`, on `clock`.
+  /// Starts the threads. The schedule's times are relative to `origin`, on `clock`.
   void start(const net::Clock& clock, Micros origin);
+  /// Stops and joins the threads.
   void join();
-  /// After join(): in the order of their calls.
+  /// The operator calls in the order in which they were made; valid after join().
   const std::vector<BanCall>& calls() const { return calls_; }
 
  private:
   bool wait_until(Micros at) const;
   void ban(const Ban& ban);
-  void call(const Ban& ban, bool out);
+  void call(const Ban& ban, bool offline);
   void signal(const Signals& signals);
-  void crowd(const Crowd& crowd);
+  void misbehaving_clients(const MisbehavingClients& misbehaving_clients);
 
   const Schedule& schedule_;
   std::vector<Router> routers_;
--- a/src/kit/soak/command.cpp
+++ b/src/kit/soak/command.cpp
@@ -1,3 +1,4 @@
+// Implements the subcommand `soak`: runs schedules, reports their results and shrinks failing ones.
 #include "command.hpp"
 
 #include <unistd.h>
@@ -20,8 +21,8 @@
 using rehearse::Outcome;
 
 constexpr int kWrongInput = 2;
-constexpr std::size_t kMostTold = 8;      // findings of a run
-constexpr std::size_t kMostShrinks = 60;  // runs that a schedule is made smaller by
+constexpr std::size_t kMaxPrintedFindings = 8;  // per run
+constexpr std::size_t kMaxShrinkRuns = 60;
 
 struct Options {
   Programs programs;
@@ -47,7 +48,7 @@
   return seeds;
 }
 
-const char* word_of(Outcome outcome) {
+const char* outcome_text(Outcome outcome) {
   switch (outcome) {
     case Outcome::kPass:
       return "pass";
@@ -58,14 +59,15 @@
   }
 }
 
-/// Leaves items out as long as the run still fails.
-Schedule smaller(Schedule schedule, const Programs& programs) {
+/// Removes items of a failing schedule one at a time, keeping each removal after which it still
+/// fails.
+Schedule shrink_schedule(Schedule schedule, const Programs& programs) {
   std::size_t runs = 0;
-  for (std::size_t item = 0; item < schedule.size() && runs < kMostShrinks;) {
-    Schedule less = schedule.without(item);
+  for (std::size_t item = 0; item < schedule.size() && runs < kMaxShrinkRuns;) {
+    Schedule reduced = schedule.without(item);
     ++runs;
-    if (run(less, programs).outcome == Outcome::kFail)
-      schedule = less;
+    if (run(reduced, programs).outcome == Outcome::kFail)
+      schedule = reduced;
     else
       ++item;
     std::fprintf(stderr, "shrink: run %zu, %zu items left\n", runs, schedule.size());
@@ -77,7 +79,7 @@
   Json findings = Json::array();
   for (const Finding& f : result.findings) findings.push_back({{"rule", f.rule}, {"what", f.what}});
   return {{"seed", seed},
-          {"outcome", word_of(result.outcome)},
+          {"outcome", outcome_text(result.outcome)},
           {"headline", result.headline},
           {"requests", result.requests},
           {"served", result.served},
@@ -86,21 +88,21 @@
           {"findings", findings}};
 }
 
-void tell(std::uint64_t seed, const RunResult& result) {
+void print_result(std::uint64_t seed, const RunResult& result) {
   std::printf("seed %llu: %s, %llu requests, %llu served, %llu calls failed, %llu bans\n",
-              static_cast<unsigned long long>(seed), word_of(result.outcome),
+              static_cast<unsigned long long>(seed), outcome_text(result.outcome),
               static_cast<unsigned long long>(result.requests),
               static_cast<unsigned long long>(result.served),
               static_cast<unsigned long long>(result.faults),
               static_cast<unsigned long long>(result.bans));
   if (result.outcome == Outcome::kInconclusive) std::printf("  %s\n", result.headline.c_str());
-  for (std::size_t k = 0; k < result.findings.size() && k < kMostTold; ++k)
+  for (std::size_t k = 0; k < result.findings.size() && k < kMaxPrintedFindings; ++k)
     std::printf("  %s: %s\n", result.findings[k].rule.c_str(), result.findings[k].what.c_str());
   if (!result.router_logs.empty()) std::printf("%s\n", result.router_logs.c_str());
   std::fflush(stdout);
 }
 
-std::string page(const Json& all) {
+std::string html_report(const Json& all) {
   std::string rows;
   for (const Json& run : all["runs"]) {
     std::string found;
@@ -118,12 +120,13 @@
 int soak(const Options& o) {
   auto seeds = seeds_of(o.seeds);
   if (!seeds) {
-    std::fprintf(stderr, "violetusher-kit: --seeds: '%s' is neither A nor A-B\n", o.seeds.c_str());
+    std::fprintf(stderr, "violetusher-kit: --seeds: '%s' is not a seed A or a range A-B\n",
+                 o.seeds.c_str());
     return kWrongInput;
   }
   if (o.plan) {
     for (std::uint64_t seed = seeds->from; seed <= seeds->to; ++seed)
-      std::printf("%s", draw(seed, o.bounds).text().c_str());
+      std::printf("%s", generate(seed, o.bounds).text().c_str());
     return 0;
   }
   for (const std::string& path : {o.programs.router, o.programs.fault_library})
@@ -131,32 +134,34 @@
       std::fprintf(stderr, "violetusher-kit: '%s' can't be read\n", path.c_str());
       return kWrongInput;
     }
-  std::uint64_t failed = 0, unjudged = 0;
+  std::uint64_t failed = 0, inconclusive = 0;
   Json all{{"seconds", o.bounds.seconds}, {"routers", o.bounds.routers}, {"runs", Json::array()}};
   for (std::uint64_t seed = seeds->from; seed <= seeds->to; ++seed) {
-    Schedule schedule = draw(seed, o.bounds);
+    Schedule schedule = generate(seed, o.bounds);
     RunResult result = run(schedule, o.programs);
-    tell(seed, result);
+    print_result(seed, result);
     all["runs"].push_back(json_of(seed, result));
     failed += result.outcome == Outcome::kFail;
-    unjudged += result.outcome == Outcome::kInconclusive;
+    inconclusive += result.outcome == Outcome::kInconclusive;
     if (result.outcome == Outcome::kFail && o.shrink)
-      std::printf("least schedule:\n%s", smaller(schedule, o.programs).text().c_str());
+      std::printf("minimal failing schedule:\n%s",
+                  shrink_schedule(schedule, o.programs).text().c_str());
   }
   std::uint64_t count = seeds->to - seeds->from + 1;
   std::printf("%llu runs, %llu failed, %llu inconclusive\n", static_cast<unsigned long long>(count),
-              static_cast<unsigned long long>(failed), static_cast<unsigned long long>(unjudged));
+              static_cast<unsigned long long>(failed),
+              static_cast<unsigned long long>(inconclusive));
   all["failed"] = failed;
-  all["inconclusive"] = unjudged;
+  all["inconclusive"] = inconclusive;
   bool written = (o.json.empty() || kit::write_whole(o.json, all.dump(1) + "\n")) &&
-                 (o.report.empty() || kit::write_whole(o.report, page(all)));
+                 (o.report.empty() || kit::write_whole(o.report, html_report(all)));
   if (!written) {
     std::fprintf(stderr, "violetusher-kit: a result could not be written\n");
     return kWrongInput;
   }
-  return static_cast<int>(failed > 0     ? Outcome::kFail
-                          : unjudged > 0 ? Outcome::kInconclusive
-                                         : Outcome::kPass);
+  return static_cast<int>(failed > 0         ? Outcome::kFail
+                          : inconclusive > 0 ? Outcome::kInconclusive
+                                             : Outcome::kPass);
 }
 
 }  // namespace
@@ -169,21 +174,22 @@
   o->programs.router = folder / "violetusher";
   o->programs.fault_library = folder / "libvioletusher_faults.so";
   CLI::App* sub = app.add_subcommand(
-      "soak", "Plays random overlapping faults against real routers and judges them");
-  sub->add_option("--seeds", o->seeds, "A or A-B")->capture_default_str();
-  sub->add_option("--seconds", o->bounds.seconds, "of each run")
+      "soak", "Runs random overlapping faults against real routers and checks their behaviour");
+  sub->add_option("--seeds", o->seeds, "a seed A or a range A-B")->capture_default_str();
+  sub->add_option("--seconds", o->bounds.seconds, "duration of each run")
       ->check(CLI::Range(6.0, 3600.0))
       ->capture_default_str();
-  sub->add_option("--routers", o->bounds.routers, "of each run")
+  sub->add_option("--routers", o->bounds.routers, "number of routers in each run")
       ->check(CLI::Range(1, 32))
       ->capture_default_str();
-  sub->add_option("--router", o->programs.router, "the router's program")->capture_default_str();
-  sub->add_option("--faults", o->programs.fault_library, "the fault library")
+  sub->add_option("--router", o->programs.router, "path of the router's executable")
       ->capture_default_str();
-  sub->add_option("--json", o->json, "write the result for machines");
+  sub->add_option("--faults", o->programs.fault_library, "path of the fault library")
+      ->capture_default_str();
+  sub->add_option("--json", o->json, "write the result as JSON");
   sub->add_option("--report", o->report, "write the result as one HTML page");
-  sub->add_flag("--shrink", o->shrink, "print the least schedule of each run that fails");
-  sub->add_flag("--plan", o->plan, "print the schedules and play nothing");
+  sub->add_flag("--shrink", o->shrink, "print a minimal failing schedule for each run that fails");
+  sub->add_flag("--plan", o->plan, "print the schedules without running them");
   sub->callback([o, &code] { code = soak(*o); });
 }
 
--- a/src/kit/soak/run.cpp
+++ b/src/kit/soak/run.cpp
@@ -1,3 +1,4 @@
+// Runs one schedule against real routers and checks the result.
 #include "run.hpp"
 
 #include <arpa/inet.h>
@@ -22,20 +23,21 @@
 namespace fs = std::filesystem;
 
 constexpr Micros kSecond = 1'000'000;
-constexpr Micros kPidEvery = 5'000;
+constexpr Micros kPidRefreshInterval = 5'000;
 constexpr const char* kBansKept = "bans-kept";
 
-/// A folder that goes with the run.
-class Scratch {
+/// A temporary directory, removed at the end of the run.
+class TemporaryDirectory {
  public:
-  Scratch() {
+  TemporaryDirectory() {
     std::string pattern = (fs::temp_directory_path() / "violetusher-soak-XXXXXX").string();
-    if (!::mkdtemp(pattern.data())) throw std::runtime_error("no folder for a run");
+    if (!::mkdtemp(pattern.data()))
+      throw std::runtime_error("cannot create a temporary directory for the run");
     path_ = pattern;
   }
-  Scratch(const Scratch&) = delete;
-  Scratch& operator=(const Scratch&) = delete;
-  ~Scratch() {
+  TemporaryDirectory(const TemporaryDirectory&) = delete;
+  TemporaryDirectory& operator=(const TemporaryDirectory&) = delete;
+  ~TemporaryDirectory() {
     std::error_code error;
     fs::remove_all(path_, error);
   }
@@ -45,14 +47,14 @@
   fs::path path_;
 };
 
-/// A port that stays taken for whoever binds it with SO_REUSEADDR.
-struct HeldPort {
+/// A port reserved by a bound socket; another socket can bind it with SO_REUSEADDR only.
+struct ReservedPort {
   net::Fd holder;
   int number = 0;
 };
 
-HeldPort hold_port() {
-  HeldPort port{net::Fd(::socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0)), 0};
+ReservedPort reserve_port() {
+  ReservedPort port{net::Fd(::socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0)), 0};
   int yes = 1;
   ::setsockopt(port.holder.get(), SOL_SOCKET, SO_REUSEADDR, &yes, sizeof yes);
   sockaddr_in address{};
@@ -61,14 +63,14 @@
   socklen_t size = sizeof address;
   if (::bind(port.holder.get(), reinterpret_cast<sockaddr*>(&address), size) != 0 ||
       ::getsockname(port.holder.get(), reinterpret_cast<sockaddr*>(&address), &size) != 0)
-    throw std::runtime_error("no port for operators");
+    throw std::runtime_error("cannot reserve a port for the operator listener");
   port.number = ntohs(address.sin_port);
   return port;
 }
 
-/// What one router of the run is given besides its configuration.
+/// The files and operator port of one router, besides its configuration.
 struct RouterSetup {
-  HeldPort operators;
+  ReservedPort operators;
   std::string folder, script, log;
   std::atomic<int> pid{0};
 };
@@ -82,34 +84,34 @@
   return count;
 }
 
-/// The end of the ban that `calls[from]` said yes to: the call back, or the end of the run.
+/// The end of the ban accepted in `calls[from]`: the call that lifts it, or the end of the run.
 Micros end_of_ban(const std::vector<BanCall>& calls, std::size_t from, Micros ended) {
   for (std::size_t k = from + 1; k < calls.size(); ++k)
     if (calls[k].router == calls[from].router && calls[k].server == calls[from].server &&
-        !calls[k].out)
+        !calls[k].offline)
       return calls[k].called;
   return ended;
 }
 
-/// From the router's yes until the call back nothing may be sent to the server, whatever processes
-/// come and go.
-void judge_bans(const std::vector<BanCall>& calls, const kit::History& history, Micros grace,
+/// Checks that nothing is sent to a server from the router's acceptance of the ban until the call
+/// that lifts it, even if the router restarts in between.
+void check_bans(const std::vector<BanCall>& calls, const kit::History& history, Micros grace,
                 RunResult& result) {
   for (std::size_t k = 0; k < calls.size(); ++k) {
     const BanCall& ban = calls[k];
-    if (!ban.out || !ban.yes) continue;
+    if (!ban.offline || !ban.accepted) continue;
     ++result.bans;
     Micros until = end_of_ban(calls, k, history.ended);
     for (const auto& a : history.attempts) {
       if (a.router != ban.router || a.first_byte <= ban.answered + grace || a.first_byte >= until)
         continue;
       if (history.servers[static_cast<std::size_t>(a.server)] != ban.server) continue;
-      std::string id = a.request == kit::kNoRequest ? "no request of ours"
+      std::string id = a.request == kit::kNoRequest ? "unknown request"
                                                     : standin::request_id(a.request, a.attempt_try);
       result.findings.push_back(
           {kBansKept, "at " + ms_of(a.first_byte - history.origin) + ", " + id + ": r" +
                           std::to_string(a.router + 1) + " sent to " + ban.server + " " +
-                          ms_of(a.first_byte - ban.answered) + " after its yes to take it out"});
+                          ms_of(a.first_byte - ban.answered) + " after accepting its ban"});
     }
   }
 }
@@ -131,18 +133,19 @@
   return now.tv_sec * kSecond + now.tv_nsec / 1000;
 }
 
-std::vector<std::unique_ptr<RouterSetup>> set_up(const Schedule& schedule, const Scratch& scratch) {
+std::vector<std::unique_ptr<RouterSetup>> set_up(const Schedule& schedule,
+                                                 const TemporaryDirectory& scratch) {
   std::vector<std::unique_ptr<RouterSetup>> setups;
   for (int r = 0; r < schedule.routers; ++r) {
     auto setup = std::make_unique<RouterSetup>();
     std::string name = "r" + std::to_string(r + 1);
-    setup->operators = hold_port();
+    setup->operators = reserve_port();
     setup->folder = scratch.file(name);
     setup->script = scratch.file(name + ".faults");
     setup->log = scratch.file(name + ".log");
     fs::create_directory(setup->folder);
     std::string text = schedule.faults(r);
-    faults::parse_script(text, setup->script);  // throws where the drawing is wrong
+    faults::parse_script(text, setup->script);  // throws if the generated script is invalid
     std::ofstream(setup->script) << text;
     setups.push_back(std::move(setup));
   }
@@ -154,7 +157,7 @@
 RunResult run(const Schedule& schedule, const Programs& programs) {
   rehearse::Day day = rehearse::parse_day(schedule.day(), "soak");
   rehearse::Plan plan = rehearse::make_plan(day, day.seed);
-  Scratch scratch;
+  TemporaryDirectory scratch;
   auto setups = set_up(schedule, scratch);
   Micros origin = monotonic_now();
   net::Clock clock;
@@ -178,7 +181,7 @@
     watch_pids = [&] {
       for (std::size_t r = 0; r < setups.size(); ++r)
         setups[r]->pid = routers.pid(static_cast<int>(r));
-      loop.at(loop.now() + kPidEvery, watch_pids);
+      loop.at(loop.now() + kPidRefreshInterval, watch_pids);
     };
     watch_pids();
     actors = std::make_unique<Actors>(schedule, std::move(targets));
@@ -200,10 +203,10 @@
   for (const auto& f : verdict.findings)
     result.findings.push_back({f.rule, "at " + ms_of(f.at) + ", " + f.request + ": " + f.what});
   for (const std::string& line : played.violations) result.findings.push_back({"invariant", line});
-  if (actors) judge_bans(actors->calls(), played.history, day.expect.drain_grace + 50'000, result);
+  if (actors) check_bans(actors->calls(), played.history, day.expect.drain_grace + 50'000, result);
   for (const auto& setup : setups) result.faults += lines_of(setup->log);
-  bool judgeable = result.outcome != rehearse::Outcome::kInconclusive;
-  if (judgeable && !result.findings.empty()) result.outcome = rehearse::Outcome::kFail;
+  bool conclusive = result.outcome != rehearse::Outcome::kInconclusive;
+  if (conclusive && !result.findings.empty()) result.outcome = rehearse::Outcome::kFail;
   return result;
 }
 
--- a/src/kit/soak/run.hpp
+++ b/src/kit/soak/run.hpp
@@ -1,4 +1,4 @@
-// One soak run: real daemons under a drawn schedule, judged from outside.
+// One soak run: real daemons under a random schedule, checked from outside.
 #pragma once
 
 #include <string>
@@ -9,27 +9,29 @@
 
 namespace violetusher::soak {
 
+/// Paths of the files that a run executes.
 struct Programs {
   std::string router;         ///< the daemon
-  std::string fault_library;  ///< loaded into it
+  std::string fault_library;  ///< loaded into the daemon
 };
 
+/// A violated rule.
 struct Finding {
   std::string rule, what;
 };
 
+/// The outcome of a run and its counts.
 struct RunResult {
   rehearse::Outcome outcome = rehearse::Outcome::kPass;
   std::string headline;
   std::vector<Finding> findings;
   std::uint64_t requests = 0, served = 0;
-  std::uint64_t faults = 0;  ///< calls that were made to fail
-  std::uint64_t bans = 0;    ///< that were said yes to
-  std::string router_logs;   ///< of routers that ended badly
+  std::uint64_t faults = 0;  ///< injected faults
+  std::uint64_t bans = 0;    ///< bans that a router accepted
+  std::string router_logs;   ///< logs of routers that exited abnormally
 };
 
-/// Plays the schedule. Throws std::runtime_error where the machine gives no socket, thread or
-/// process.
+/// Runs the schedule. Throws std::runtime_error if a socket, thread or process can't be created.
 RunResult run(const Schedule& schedule, const Programs& programs);
 
 }  // namespace violetusher::soak
--- a/src/kit/soak/schedule.cpp
+++ b/src/kit/soak/schedule.cpp
@@ -1,3 +1,4 @@
+// Generates schedules and renders them as a day, fault scripts and text.
 #include "schedule.hpp"
 
 #include <algorithm>
@@ -9,16 +10,16 @@
 namespace {
 
 constexpr Micros kMillisecond = 1000, kSecond = 1'000'000;
-// Servers that no event and no ban is about, so that there is always one to serve.
-constexpr int kSpared = 3;
-constexpr int kHalls = 3;
-constexpr const char* kHallNames[] = {"bole", "kality", "piassa"};
+// Servers without events or bans, so that some server is always available.
+constexpr int kUndisturbedServers = 3;
+constexpr int kZones = 3;
+constexpr const char* kZoneNames[] = {"bole", "kality", "piassa"};
 
-/// A kind of failing call, as Linux documents it. A broken connection is not among them: the
-/// library could not break the other end as well.
+/// A kind of failing call, with errors that Linux documents. Broken connections are not included:
+/// the library can't break the peer's end as well.
 struct FailingKind {
   const char* rule;
-  bool survivable;  ///< nothing need be lost where every such call fails for a second
+  bool survivable;  ///< no request need be lost even if all such calls fail for a second
 };
 
 constexpr FailingKind kFailing[] = {
@@ -39,9 +40,9 @@
 
 std::string ms(Micros span) { return std::to_string(span / kMillisecond) + "ms"; }
 
-class Drawer {
+class ScheduleGenerator {
  public:
-  Drawer(std::uint64_t seed, const Bounds& bounds) : random_(seed) {
+  ScheduleGenerator(std::uint64_t seed, const Bounds& bounds) : random_(seed) {
     s_.seed = seed;
     s_.seconds = bounds.seconds;
     s_.routers = bounds.routers;
@@ -49,11 +50,11 @@
     s_.rate = 40.0 * bounds.routers;
     s_.pushed = chance(0.6);
     length_ = static_cast<Micros>(bounds.seconds * kSecond);
-    for (int k = 1 + kSpared; k <= s_.servers; ++k) free_.push_back(k);
-    std::shuffle(free_.begin(), free_.end(), random_);
+    for (int k = 1 + kUndisturbedServers; k <= s_.servers; ++k) unused_servers_.push_back(k);
+    std::shuffle(unused_servers_.begin(), unused_servers_.end(), random_);
   }
 
-  Schedule draw() {
+  Schedule generate() {
     int events = between(4, 9);
     for (int k = 0; k < events; ++k) event();
     failing_calls();
@@ -61,7 +62,7 @@
     for (int k = 0; k < bans; ++k) ban();
     int signals = between(1, 4);
     for (int k = 0; k < signals; ++k) signal();
-    if (chance(0.3)) crowd();
+    if (chance(0.3)) misbehaving_clients();
     return std::move(s_);
   }
 
@@ -72,13 +73,13 @@
   }
   bool chance(double part) { return std::uniform_real_distribution<double>(0, 1)(random_) < part; }
   int router() { return between(0, s_.routers - 1); }
-  /// A moment that leaves a second for what follows.
-  Micros moment() { return span(kSecond, length_ - 2 * kSecond); }
-  /// A server that no event is about yet; empty once all are.
+  /// A random time that leaves at least two seconds until the end of the run.
+  Micros random_time() { return span(kSecond, length_ - 2 * kSecond); }
+  /// A server without an event or ban so far; empty if none is left.
   std::string server() {
-    if (free_.empty()) return {};
-    std::string id = "pc-" + std::to_string(free_.back());
-    free_.pop_back();
+    if (unused_servers_.empty()) return {};
+    std::string id = "pc-" + std::to_string(unused_servers_.back());
+    unused_servers_.pop_back();
     return id;
   }
 
@@ -89,36 +90,36 @@
   }
 
   void event() {
-    Micros at = moment(), until = at + span(kSecond, 4 * kSecond);
+    Micros at = random_time(), until = at + span(kSecond, 4 * kSecond);
     int kind = between(0, 9);
     if (kind <= 3) {
       server_event(at, until);
     } else if (kind <= 5) {
       discovery_event(at, until);
     } else if (kind <= 8) {
-      std::string who = "routers = \"r" + std::to_string(1 + router()) + "\"\n";
+      std::string target = "routers = \"r" + std::to_string(1 + router()) + "\"\n";
       static const char* const kWhat[] = {"router-restarts", "router-restarts", "router-killed",
                                           "router-reloads"};
       const char* what = kWhat[between(0, 3)];
       bool ends = std::string(what) == "router-killed";
-      add(what, at, ends ? at + span(100 * kMillisecond, kSecond) : 0, who);
+      add(what, at, ends ? at + span(100 * kMillisecond, kSecond) : 0, target);
     } else {
       add("hall-cut-off", at, until,
-          std::string("hall = \"") + kHallNames[between(0, kHalls - 1)] + "\"\n");
+          std::string("hall = \"") + kZoneNames[between(0, kZones - 1)] + "\"\n");
     }
   }
 
   void server_event(Micros at, Micros until) {
     std::string id = server();
     if (id.empty()) return;
-    std::string who = "servers = \"" + id + "\"\n";
+    std::string target = "servers = \"" + id + "\"\n";
     static const char* const kWhat[] = {
         "drains", "drains", "drains", "vanishes", "dies",    "accepts-never-answers",
         "slow",   "errors", "resets", "busy",     "replaced"};
     std::string what = kWhat[between(0, 10)];
     if (what == "drains") until = length_;
-    if (what == "errors" || what == "resets" || what == "busy") who += "rate = 0.5\n";
-    add(what, at, what == "replaced" ? 0 : until, who);
+    if (what == "errors" || what == "resets" || what == "busy") target += "rate = 0.5\n";
+    add(what, at, what == "replaced" ? 0 : until, target);
   }
 
   void discovery_event(Micros at, Micros until) {
@@ -135,10 +136,11 @@
     }
   }
 
-  void fails(int router, const std::string& rule) { s_.failing.push_back({router, rule}); }
+  void add_failing_call(int router, const std::string& rule) {
+    s_.failing.push_back({router, rule});
+  }
 
-  /// Bursts of failing calls at some of the routers, as Linux documents them. A broken connection
-  /// is not among them: the library could not break the other end as well.
+  /// Adds bursts of failing calls at some of the routers.
   void failing_calls() {
     for (int r = 0; r < s_.routers; ++r) {
       if (chance(0.3)) continue;
@@ -150,41 +152,42 @@
         const FailingKind& kind = kFailing[between(0, std::size(kFailing) - 1)];
         bool always = kind.survivable && chance(0.3);
         std::string part = always ? "" : " chance=" + std::to_string(0.05 + 0.05 * between(1, 8));
-        fails(r, kind.rule + part + when);
+        add_failing_call(r, kind.rule + part + when);
       }
-      if (chance(0.3)) fails(r, "sendmsg delay=100ms chance=0.002");
+      if (chance(0.3)) add_failing_call(r, "sendmsg delay=100ms chance=0.002");
       if (chance(0.3))
-        fails(r, std::string("clock step=") + (chance(0.5) ? "" : "-") +
-                     (chance(0.5) ? "1h" : "7s") + " from=" + ms(moment()));
+        add_failing_call(r, std::string("clock step=") + (chance(0.5) ? "" : "-") +
+                                (chance(0.5) ? "1h" : "7s") + " from=" + ms(random_time()));
     }
   }
 
   void ban() {
     std::string id = server();
     if (id.empty()) return;
-    Micros from = moment();
+    Micros from = random_time();
     s_.bans.push_back({router(), id, from, from + span(kSecond, 5 * kSecond)});
   }
 
   void signal() {
     static const int kNumbers[] = {SIGHUP, SIGHUP, SIGUSR1};
-    s_.signals.push_back(
-        {router(), kNumbers[between(0, 2)], moment(), between(1, 8), span(0, 50 * kMillisecond)});
+    s_.signals.push_back({router(), kNumbers[between(0, 2)], random_time(), between(1, 8),
+                          span(0, 50 * kMillisecond)});
   }
 
-  void crowd() {
-    Micros from = moment();
-    s_.crowds.push_back({router(), between(100, 280), from, from + span(kSecond, 4 * kSecond)});
+  void misbehaving_clients() {
+    Micros from = random_time();
+    s_.misbehaving.push_back(
+        {router(), between(100, 280), from, from + span(kSecond, 4 * kSecond)});
   }
 
   std::mt19937_64 random_;
   Schedule s_;
   Micros length_ = 0;
-  std::vector<int> free_;  // servers that no event is about
+  std::vector<int> unused_servers_;  // servers without an event or ban so far
 };
 
 template <typename List>
-bool drop(List& list, std::size_t& item) {
+bool erase_item(List& list, std::size_t& item) {
   if (item >= list.size()) {
     item -= list.size();
     return false;
@@ -196,27 +199,28 @@
 }  // namespace
 
 std::size_t Schedule::size() const {
-  return events.size() + failing.size() + bans.size() + signals.size() + crowds.size();
+  return events.size() + failing.size() + bans.size() + signals.size() + misbehaving.size();
 }
 
 Schedule Schedule::without(std::size_t item) const {
-  Schedule less = *this;
-  bool dropped = drop(less.events, item) || drop(less.failing, item) || drop(less.bans, item) ||
-                 drop(less.signals, item) || drop(less.crowds, item);
-  (void)dropped;
-  return less;
+  Schedule reduced = *this;
+  bool erased = erase_item(reduced.events, item) || erase_item(reduced.failing, item) ||
+                erase_item(reduced.bans, item) || erase_item(reduced.signals, item) ||
+                erase_item(reduced.misbehaving, item);
+  (void)erased;
+  return reduced;
 }
 
 std::string Schedule::day() const {
-  std::string halls;
+  std::string zones;
   for (int r = 0; r < routers; ++r)
-    halls += (r > 0 ? ", \"" : "\"") + std::string(kHallNames[r % kHalls]) + "\"";
+    zones += (r > 0 ? ", \"" : "\"") + std::string(kZoneNames[r % kZones]) + "\"";
   std::string text = "name = \"soak\"\nlength = \"" + ms(static_cast<Micros>(seconds * kSecond)) +
                      "\"\nseed = " + std::to_string(seed % 1'000'000) +
                      "\n[[fleet.servers]]\nkind = \"std-4c\"\ncount = " + std::to_string(servers) +
                      "\n[discovery]\npushed = " + (pushed ? "true" : "false") +
                      "\nnotice = \"100ms\"\ncalls = \"" + std::to_string(20 + 3 * routers) +
-                     "/s\"\n[routers]\nhalls = [" + halls + "]\n[tills]\nrate = \"" +
+                     "/s\"\n[routers]\nhalls = [" + zones + "]\n[tills]\nrate = \"" +
                      std::to_string(static_cast<int>(rate)) +
                      "/s\"\nkeys = 2000\nimpatient = 0.03\n"
                      "[rig]\nlate_p99 = \"50ms\"\nlate_worst = \"1s\"\n";
@@ -236,19 +240,20 @@
   for (const FailingCall& one : failing)
     text += "# r" + std::to_string(one.router + 1) + ": " + one.rule + "\n";
   for (const Ban& one : bans)
-    text += "# r" + std::to_string(one.router + 1) + ": " + one.server + " out from " +
+    text += "# r" + std::to_string(one.router + 1) + ": " + one.server + " offline from " +
             ms(one.from) + " until " + ms(one.until) + "\n";
   for (const Signals& one : signals)
     text += "# r" + std::to_string(one.router + 1) + ": signal " + std::to_string(one.number) +
-            " at " + ms(one.at) + ", " + std::to_string(one.count) + " times, " + ms(one.apart) +
+            " at " + ms(one.at) + ", " + std::to_string(one.count) + " times, " + ms(one.interval) +
             " apart\n";
-  for (const Crowd& one : crowds)
-    text += "# r" + std::to_string(one.router + 1) + ": a crowd of " +
-            std::to_string(one.connections) + " from " + ms(one.from) + " until " + ms(one.until) +
-            "\n";
+  for (const MisbehavingClients& one : misbehaving)
+    text += "# r" + std::to_string(one.router + 1) + ": " + std::to_string(one.connections) +
+            " misbehaving clients from " + ms(one.from) + " until " + ms(one.until) + "\n";
   return text;
 }
 
-Schedule draw(std::uint64_t seed, const Bounds& bounds) { return Drawer(seed, bounds).draw(); }
+Schedule generate(std::uint64_t seed, const Bounds& bounds) {
+  return ScheduleGenerator(seed, bounds).generate();
+}
 
 }  // namespace violetusher::soak
--- a/src/kit/soak/schedule.hpp
+++ b/src/kit/soak/schedule.hpp
@@ -1,6 +1,6 @@
-// What happens in one soak run, drawn from a seed: events of the day, failing calls of each router,
-// calls of operators, signals, and a crowd of bad clients. A schedule is a list of items, so that
-// one that breaks a rule can be made smaller item by item.
+// The schedule of one soak run, generated from a seed: events of the day, failing system calls of
+// each router, operator calls, signals and misbehaving clients. A schedule is a list of items, so
+// that a failing one can be shrunk item by item.
 #pragma once
 
 #include <cstdint>
@@ -22,58 +22,61 @@
   std::string rule;
 };
 
-/// An operator takes a server out at one router, and puts it back.
+/// An operator bans a server at one router, and lifts the ban later.
 struct Ban {
   int router = 0;
   std::string server;
   Micros from = 0, until = 0;
 };
 
-/// A signal that a router gets a few times in a row.
+/// A signal that is sent to a router `count` times.
 struct Signals {
   int router = 0;
   int number = 0;
   Micros at = 0;
   int count = 1;
-  Micros apart = 0;
+  Micros interval = 0;
 };
 
-/// Clients that connect and do not ask.
-struct Crowd {
+/// Clients that connect, send nothing, a partial command or a no-op, and reconnect.
+struct MisbehavingClients {
   int router = 0;
   int connections = 0;
   Micros from = 0, until = 0;
 };
 
+/// All items of a run and the parameters of its day.
 struct Schedule {
   std::uint64_t seed = 1;
   double seconds = 10;
   int routers = 6, servers = 8;
-  double rate = 200;  ///< requests a second
+  double rate = 200;  ///< requests per second
   bool pushed = true;
   std::vector<DayEvent> events;
   std::vector<FailingCall> failing;
   std::vector<Ban> bans;
   std::vector<Signals> signals;
-  std::vector<Crowd> crowds;
+  std::vector<MisbehavingClients> misbehaving;
 
-  /// Items that may be left out.
+  /// Number of items that can be removed.
   std::size_t size() const;
+  /// A copy without the item of that index.
   Schedule without(std::size_t item) const;
   /// The day, as TOML.
   std::string day() const;
   /// The fault script of a router.
   std::string faults(int router) const;
-  /// All of it, for people.
+  /// The whole schedule in readable form.
   std::string text() const;
 };
 
+/// Parameters of the generated schedules.
 struct Bounds {
   double seconds = 10;
   int routers = 6;
 };
 
-/// The same seed and bounds give the same schedule.
-Schedule draw(std::uint64_t seed, const Bounds& bounds);
+/// Generates a schedule. The same seed and bounds give the same schedule.
+Schedule generate(std::uint64_t seed, const Bounds& bounds);
 
 }  // namespace violetusher::soak
