--- a/bench/route_match.cpp
+++ b/bench/route_match.cpp
@@ -1,5 +1,6 @@
-// Longest-prefix match over 10,000 routes against a std::map that is asked for ever shorter
-// prefixes, in one run; and what a request costs with an operator file.
+// Benchmarks longest-prefix matching over 10,000 routes against a std::map that is searched for
+// successively shorter prefixes, and the cost of the traffic policy of an operator file per
+// request.
 #include <benchmark/benchmark.h>
 
 #include <atomic>
@@ -68,14 +69,14 @@
   auto all = keys();
   std::size_t k = 0, found = 0;
   for (auto _ : state) {
-    std::pair<std::string, std::string> wanted("price-lookup", all[k++ & 4095]);
+    std::pair<std::string, std::string> lookup("price-lookup", all[k++ & 4095]);
     while (true) {
-      if (table.find(wanted) != table.end()) {
+      if (table.find(lookup) != table.end()) {
         ++found;
         break;
       }
-      if (wanted.second.empty()) break;
-      wanted.second.pop_back();
+      if (lookup.second.empty()) break;
+      lookup.second.pop_back();
     }
   }
   benchmark::DoNotOptimize(found);
--- a/bench/router_throughput.cpp
+++ b/bench/router_throughput.cpp
@@ -1,10 +1,12 @@
-// Requests a second that one router serves, beside a plain byte relay in the same run: what is left
-// of the relay's rate is what the router's work costs. Everything is on loopback: a sender with so
-// many connections and commands outstanding on each, the router or the relay, and one price cache
-// that answers at once. `router_throughput PROGRAM [--operator FILE] [--seconds N] [--rounds N]`
+// Measures the requests per second that one router serves, and compares them with a plain byte
+// relay in the same run: the difference is the cost of the router's work. Everything runs on
+// loopback: a load generator with a number of connections and of outstanding commands on each, the
+// router or the relay, and one cache server that responds immediately. `router_throughput PROGRAM
+// [--operator FILE] [--seconds N] [--rounds N]`
 //
-// Relay and router are played in turns and the medians reported, so that a machine that slows down
-// slows both. Refusals are counted apart, and no answer at all ends the run.
+// Relay and router are measured in alternation and the medians reported, so that a slowdown of the
+// machine affects both. Refusals are counted separately. One second without a response ends the
+// run.
 #include <arpa/inet.h>
 #include <netinet/tcp.h>
 #include <poll.h>
@@ -52,7 +54,7 @@
   return fd;
 }
 
-Fd dial(std::uint16_t port) {
+Fd connect_to(std::uint16_t port) {
   Fd fd(::socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0));
   sockaddr_in a = loopback(port);
   int on = 1;
@@ -74,7 +76,8 @@
   }
 }
 
-/// Serves connections on one thread; `on_bytes` gets a connection and what came on it.
+/// Serves connections on the calling thread; `on_bytes` receives a connection and the bytes read
+/// from it.
 template <typename F, typename A>
 void serve(int listener, const std::atomic<bool>& stop, A on_accept, F on_bytes) {
   Fd epoll(::epoll_create1(EPOLL_CLOEXEC));
@@ -111,56 +114,56 @@
   }
 }
 
-/// Answers each line at once.
-void price_cache(int listener, const std::atomic<bool>& stop) {
+/// A cache server that responds to each line immediately.
+void cache_server(int listener, const std::atomic<bool>& stop) {
   std::map<int, std::string> partial;
   std::string out;
   auto nothing = [](int, auto&) {};
   serve(listener, stop, nothing, [&](int fd, std::string_view in) {
-    std::string& held = partial[fd];
-    held.append(in);
+    std::string& buffered = partial[fd];
+    buffered.append(in);
     out.clear();
     std::size_t from = 0;
-    for (std::size_t end; (end = held.find("\r\n", from)) != held.npos; from = end + 2) {
-      std::size_t id = held.find(" O", from) + 2;
+    for (std::size_t end; (end = buffered.find("\r\n", from)) != buffered.npos; from = end + 2) {
+      std::size_t id = buffered.find(" O", from) + 2;
       out.append("VA 20 O")
-          .append(held, id, held.find(' ', id) - id)
+          .append(buffered, id, buffered.find(' ', id) - id)
           .append(" h1\r\n01234567890123456789\r\n");
     }
-    held.erase(0, from);
+    buffered.erase(0, from);
     send_all(fd, out.data(), out.size());
   });
 }
 
-/// Passes bytes on, each way, one connection for each.
+/// Relays bytes in both directions, with one upstream connection per client connection.
 void relay(int listener, std::uint16_t to, const std::atomic<bool>& stop) {
   std::map<int, int> other;
   serve(
       listener, stop,
       [&](int fd, auto& watch) {
-        Fd far = dial(to);
-        other[fd] = far.get();
-        other[far.get()] = fd;
-        watch(std::move(far));
+        Fd upstream = connect_to(to);
+        other[fd] = upstream.get();
+        other[upstream.get()] = fd;
+        watch(std::move(upstream));
       },
       [&](int fd, std::string_view in) { send_all(other[fd], in.data(), in.size()); });
 }
 
 struct Counts {
-  double served = 0, refused = 0;  // a second
+  double served = 0, refused = 0;  // per second
 };
 
-/// `connections` of which each has `depth` commands outstanding, for `seconds`.
+/// Generates load for `seconds` over `connections`, with `depth` outstanding commands on each.
 Counts load(std::uint16_t port, int connections, int depth, double seconds) {
-  struct Line {
+  struct Connection {
     Fd fd;
     std::string in;
   };
-  std::vector<Line> lines(static_cast<std::size_t>(connections));
+  std::vector<Connection> clients(static_cast<std::size_t>(connections));
   Fd epoll(::epoll_create1(EPOLL_CLOEXEC));
   std::uint64_t next = 0, served = 0, refused = 0;
   std::string out;
-  auto ask = [&](Line& line, int count) {
+  auto send_requests = [&](Connection& client, int count) {
     out.clear();
     for (int k = 0; k < count; ++k, ++next)
       out.append("mg barcode:")
@@ -168,13 +171,13 @@
           .append(" v Oq")
           .append(std::to_string(next))
           .append(" Pc=read,t=acme,d=900,h=50\r\n");
-    send_all(line.fd.get(), out.data(), out.size());
+    send_all(client.fd.get(), out.data(), out.size());
   };
-  for (std::size_t k = 0; k < lines.size(); ++k) {
-    lines[k].fd = dial(port);
+  for (std::size_t k = 0; k < clients.size(); ++k) {
+    clients[k].fd = connect_to(port);
     epoll_event e{EPOLLIN, {.u64 = k}};
-    ::epoll_ctl(epoll.get(), EPOLL_CTL_ADD, lines[k].fd.get(), &e);
-    ask(lines[k], depth);
+    ::epoll_ctl(epoll.get(), EPOLL_CTL_ADD, clients[k].fd.get(), &e);
+    send_requests(clients[k], depth);
   }
   auto from = Clock::now(), until = from + std::chrono::duration_cast<Clock::duration>(
                                                std::chrono::duration<double>(seconds));
@@ -183,19 +186,19 @@
     epoll_event ready[64];
     int count = ::epoll_wait(epoll.get(), ready, 64, 1000);
     if (count == 0) {
-      std::fprintf(stderr, "no answer for a second\n");
+      std::fprintf(stderr, "no response for one second\n");
       std::exit(3);
     }
     for (int k = 0; k < count; ++k) {
-      Line& line = lines[ready[k].data.u64];
-      ssize_t got = ::recv(line.fd.get(), bytes.data(), bytes.size(), MSG_DONTWAIT);
+      Connection& client = clients[ready[k].data.u64];
+      ssize_t got = ::recv(client.fd.get(), bytes.data(), bytes.size(), MSG_DONTWAIT);
       if (got <= 0) continue;
-      line.in.append(bytes.data(), static_cast<std::size_t>(got));
+      client.in.append(bytes.data(), static_cast<std::size_t>(got));
       std::size_t at = 0;
       int done = 0;
-      for (std::size_t end; (end = line.in.find("\r\n", at)) != line.in.npos;) {
-        if (line.in[at] == 'V') {
-          if (line.in.size() < end + 24) break;  // its value of 20 bytes, and the end of that line
+      for (std::size_t end; (end = client.in.find("\r\n", at)) != client.in.npos;) {
+        if (client.in[at] == 'V') {
+          if (client.in.size() < end + 24) break;  // the value of 20 bytes and its line end
           ++served;
           at = end + 24;
         } else {
@@ -204,15 +207,15 @@
         }
         ++done;
       }
-      line.in.erase(0, at);
-      if (done) ask(line, done);
+      client.in.erase(0, at);
+      if (done) send_requests(client, done);
     }
   }
   double took = std::chrono::duration<double>(Clock::now() - from).count();
   return {static_cast<double>(served) / took, static_cast<double>(refused) / took};
 }
 
-/// Eight price caches by name, all of them the one that answers at once.
+/// The router's configuration: eight hosts, all with the address of the one cache server.
 std::string config(std::uint16_t cache) {
   std::string text =
       R"({"name":"b","listen":"127.0.0.1:0","discovery":"127.0.0.1:1","seed":"5",)"
@@ -260,70 +263,70 @@
     std::fprintf(
         stderr,
         "usage: router_throughput PROGRAM... [--operator FILE] [--seconds N] [--rounds N]\n"
-        "with --operator the last program is also played with that file\n");
+        "with --operator the last program is also measured with that file\n");
     return 2;
   }
   std::atomic<bool> stop{false};
   std::uint16_t cache_port = 0, relay_port = 0;
   Fd cache = listen_any(cache_port), relay_listener = listen_any(relay_port);
-  std::thread cache_thread([&] { price_cache(cache.get(), stop); });
+  std::thread cache_thread([&] { cache_server(cache.get(), stop); });
   std::thread relay_thread([&] { relay(relay_listener.get(), cache_port, stop); });
   char path[] = "/tmp/router-throughput-XXXXXX";
   Fd file(::mkstemp(path));
   std::ofstream(path) << config(cache_port);
   ::setenv("NODE_CONFIG", path, 1);
 
-  struct Player {
+  struct Target {
     std::string name;
     std::uint16_t port = 0;
     int pid = -1;
   };
-  std::vector<Player> players{{"relay", relay_port, -1}};
-  auto start = [&](const std::string& program, const std::string& operated) {
-    int said[2];
-    if (::pipe(said) != 0) std::abort();
+  std::vector<Target> targets{{"relay", relay_port, -1}};
+  auto start = [&](const std::string& program, const std::string& operator_path) {
+    int stderr_pipe[2];
+    if (::pipe(stderr_pipe) != 0) std::abort();
     int pid = ::fork();
     if (pid == 0) {
-      ::dup2(said[1], 2);
-      if (operated.empty())
+      ::dup2(stderr_pipe[1], 2);
+      if (operator_path.empty())
         ::execl(program.c_str(), "violetusher", nullptr);
       else
-        ::execl(program.c_str(), "violetusher", "--operator", operated.c_str(), nullptr);
+        ::execl(program.c_str(), "violetusher", "--operator", operator_path.c_str(), nullptr);
       ::_exit(127);
     }
-    ::close(said[1]);
+    ::close(stderr_pipe[1]);
     std::string text;
     char byte;
     while (text.find("listens on") == text.npos || text.back() != '\n') {
-      if (::read(said[0], &byte, 1) != 1) {
-        std::fprintf(stderr, "%s: does not start: %s\n", program.c_str(), text.c_str());
+      if (::read(stderr_pipe[0], &byte, 1) != 1) {
+        std::fprintf(stderr, "%s: did not start: %s\n", program.c_str(), text.c_str());
         std::exit(3);
       }
       text += byte;
     }
     std::size_t colon = text.rfind(':');
-    players.push_back({program + (operated.empty() ? "" : " --operator"),
+    targets.push_back({program + (operator_path.empty() ? "" : " --operator"),
                        static_cast<std::uint16_t>(std::atoi(text.c_str() + colon + 1)), pid});
   };
   for (const std::string& program : programs) start(program, "");
   if (!operator_file.empty()) start(programs.back(), operator_file);
 
   for (auto [connections, depth] : {std::pair(8, 1), std::pair(8, 8), std::pair(32, 8)}) {
-    std::vector<std::vector<double>> served(players.size()), refused(players.size());
+    std::vector<std::vector<double>> served(targets.size()), refused(targets.size());
     for (int round = 0; round < rounds; ++round)
-      for (std::size_t k = 0; k < players.size(); ++k) {
-        Counts c = load(players[k].port, connections, depth, seconds);
+      for (std::size_t k = 0; k < targets.size(); ++k) {
+        Counts c = load(targets[k].port, connections, depth, seconds);
         served[k].push_back(c.served), refused[k].push_back(c.refused);
       }
-    std::printf("%d connections, %d deep\n", connections, depth);
-    for (std::size_t k = 0; k < players.size(); ++k)
+    std::printf("%d connections, %d outstanding commands each\n", connections, depth);
+    for (std::size_t k = 0; k < targets.size(); ++k)
       std::printf("  %-50s %9.0f/s served (%.0f to %.0f), %.3f of the relay, %.0f/s refused\n",
-                  players[k].name.c_str(), median(served[k]),
+                  targets[k].name.c_str(), median(served[k]),
                   *std::min_element(served[k].begin(), served[k].end()),
                   *std::max_element(served[k].begin(), served[k].end()),
                   median(served[k]) / median(served[0]), median(refused[k]));
   }
-  for (const Player& p : players)
+  for (const Target& p : targets)
     if (p.pid > 0) ::kill(p.pid, SIGKILL), ::waitpid(p.pid, nullptr, 0);
   ::unlink(path);
   stop = true;
--- a/bench/timers.cpp
+++ b/bench/timers.cpp
@@ -1,7 +1,7 @@
-// The router's timers against the lazy heap that was there before and a hashed wheel, in one run.
-// The load is the router's: each request sets two timers some hundred milliseconds ahead, is over
-// after a millisecond or two, and cancels what is left; now and then one is due. Figures are for
-// each request.
+// Benchmarks the router's timers against a heap with lazy deletion and a hashed timer wheel. The
+// load resembles the router's: each request sets two timers some hundred milliseconds ahead, ends
+// after a millisecond or two, and cancels the remaining ones; occasionally a timer expires. Times
+// are per request.
 #include "net/timers.hpp"
 
 #include <benchmark/benchmark.h>
@@ -15,10 +15,10 @@
 using violetusher::Micros;
 using violetusher::net::Timers;
 
-constexpr Micros kBetween = 25;           // microseconds from request to request
-constexpr std::size_t kOutstanding = 64;  // requests before one is over
+constexpr Micros kRequestInterval = 25;           // between requests
+constexpr std::size_t kOutstandingRequests = 64;  // until the oldest ends
 
-/// Cancelled timers stay until their time and are then let be.
+/// A heap with lazy deletion: cancelled timers stay in it until they expire.
 class LazyHeap {
  public:
   using Handle = std::uint64_t;
@@ -27,7 +27,7 @@
     return order_;
   }
   void cancel(Handle&) {}
-  bool take(Micros now) {
+  bool pop_due(Micros now) {
     if (timers_.empty() || timers_.top().at > now) return false;
     timers_.pop();
     return true;
@@ -44,8 +44,9 @@
   std::uint64_t order_ = 0;
 };
 
-/// Slots of 64 us over a second and more; a timer rings up to a slot late. One list for each slot,
-/// linked through a table of nodes, so that cancelling is a matter of two links.
+/// A hashed timer wheel with slots of 64 us, covering more than a second; a timer can fire up to
+/// one slot late. Each slot has a doubly linked list in a node table, so cancelling takes constant
+/// time.
 class Wheel {
  public:
   using Handle = std::uint64_t;
@@ -70,7 +71,7 @@
     if (handle != 0 && nodes_[n].set) remove(n);
     handle = 0;
   }
-  bool take(Micros now) {
+  bool pop_due(Micros now) {
     for (; at_ <= now / kTick; ++at_)
       for (std::uint32_t n = slots_[static_cast<std::size_t>(at_ % kSlots)]; n != kNone;
            n = nodes_[n].next)
@@ -109,12 +110,13 @@
   std::size_t size_ = 0;
 };
 
-class Indexed {
+/// The router's timers.
+class IndexedHeap {
  public:
   using Handle = Timers::Handle;
   Handle set(Micros at, std::uint64_t token) { return timers_.set(at, {.token = token}); }
   void cancel(Handle& handle) { timers_.cancel(handle); }
-  bool take(Micros now) {
+  bool pop_due(Micros now) {
     Timers::Task due;
     return timers_.pop_due(now, due);
   }
@@ -128,29 +130,29 @@
 void requests(benchmark::State& state) {
   T timers;
   std::mt19937_64 draws(1);
-  std::vector<std::pair<typename T::Handle, typename T::Handle>> out(kOutstanding);
+  std::vector<std::pair<typename T::Handle, typename T::Handle>> outstanding(kOutstandingRequests);
   Micros now = 0;
   std::uint64_t number = 0;
-  std::size_t most = 0;
-  auto one = [&] {
-    auto& mine = out[number++ % kOutstanding];
-    timers.cancel(mine.first), timers.cancel(mine.second);
-    mine.first = timers.set(now + 850'000 + static_cast<Micros>(draws() % 100'000), number);
-    mine.second = timers.set(now + 20'000 + static_cast<Micros>(draws() % 200'000), number);
-    now += kBetween;
-    while (timers.take(now)) {
+  std::size_t max_held = 0;
+  auto run_request = [&] {
+    auto& handles = outstanding[number++ % kOutstandingRequests];
+    timers.cancel(handles.first), timers.cancel(handles.second);
+    handles.first = timers.set(now + 850'000 + static_cast<Micros>(draws() % 100'000), number);
+    handles.second = timers.set(now + 20'000 + static_cast<Micros>(draws() % 200'000), number);
+    now += kRequestInterval;
+    while (timers.pop_due(now)) {
     }
   };
-  for (int k = 0; k < 100'000; ++k) one();  // until what is set and what is due are even
+  for (int k = 0; k < 100'000; ++k) run_request();  // warm-up until the number of timers is stable
   for (auto _ : state) {
-    one();
-    most = std::max(most, timers.size());
+    run_request();
+    max_held = std::max(max_held, timers.size());
   }
-  state.counters["held"] = static_cast<double>(most);
+  state.counters["held"] = static_cast<double>(max_held);
 }
 
 BENCHMARK(requests<LazyHeap>);
-BENCHMARK(requests<Indexed>);
+BENCHMARK(requests<IndexedHeap>);
 BENCHMARK(requests<Wheel>);
 
 }  // namespace
