--- a/src/kit/config/command.cpp
+++ b/src/kit/config/command.cpp
@@ -45,7 +45,7 @@
 }
 
 int format(const std::string& path, bool only_check, bool write) {
-  std::string text, error = net::read_plain_file(path, text);
+  std::string text, error = net::read_regular_file(path, text);
   if (!error.empty()) {
     std::fprintf(stderr, "%s: %s\n", path.c_str(), error.c_str());
     return kWrongInput;
@@ -53,7 +53,7 @@
   config::Sources sources;
   config::Diagnostics diagnostics;
   config::Tree tree = config::parse(sources, sources.add(path, text), diagnostics);
-  diagnostics.settle();
+  diagnostics.finalize();
   for (const auto& d : diagnostics.list()) std::fprintf(stderr, "%s", sources.show(d).c_str());
   if (!diagnostics.none()) return kWrongInput;
   std::string formatted = config::format(tree);
@@ -74,7 +74,7 @@
 /// The keys that move, given a discovery list. False where that can't be read.
 bool add_moved_keys(const config::Model& before, const config::Model& after,
                     const std::string& list, int keys, std::vector<config::Change>& changes) {
-  std::string text, error = net::read_plain_file(list, text);
+  std::string text, error = net::read_regular_file(list, text);
   std::vector<violetusher::Server> servers;
   try {
     if (error.empty())
--- a/src/kit/flight/page.cpp
+++ b/src/kit/flight/page.cpp
@@ -8,7 +8,7 @@
 namespace violetusher::kit {
 namespace {
 
-using core::flight::AttemptLine;
+using core::flight::AttemptTimeline;
 using core::flight::Timeline;
 
 constexpr double kWidth = 960, kLeft = 150, kRight = 20, kRow = 26, kTop = 40;
@@ -56,7 +56,7 @@
   Micros end = line.answered ? line.answered : until;
   svg += label(kLeft - 8, y + 13, "request", "end") +
          bar(x_of(from), x_of(end) - x_of(from), y, kRouter, one_line(line));
-  for (const AttemptLine& a : line.attempts) {
+  for (const AttemptTimeline& a : line.attempts) {
     y += kRow;
     svg += label(kLeft - 8, y + 13, std::to_string(a.attempt + 1) + " " + a.server, "end");
     if (!a.sent) continue;
--- a/src/kit/flight/show.cpp
+++ b/src/kit/flight/show.cpp
@@ -11,13 +11,13 @@
 namespace violetusher::kit {
 namespace {
 
-using core::flight::AttemptLine;
+using core::flight::AttemptTimeline;
 using core::flight::Kind;
 using core::flight::name_of;
-using core::flight::Parts;
+using core::flight::Reason;
 using core::flight::Record;
+using core::flight::TimeBreakdown;
 using core::flight::Timeline;
-using core::flight::Why;
 using Json = nlohmann::ordered_json;
 
 /// Ids come from outside: what a terminal would take for more than text is shown as \xNN.
@@ -41,9 +41,9 @@
 std::string words(const Record& r) {
   std::string text = name_of(r.kind);
   if (r.attempt >= 0) text += " attempt " + std::to_string(r.attempt + 1);
-  std::string name = plain(r.words());
+  std::string name = plain(r.text_string());
   switch (r.kind) {
-    case Kind::kTaken:
+    case Kind::kReceived:
       return text + " as " + name + ", " + duration_text(r.value) + " to go";
     case Kind::kRouted:
       return text + " to pool " + name;
@@ -51,7 +51,7 @@
     case Kind::kMoved:
       return text + " to " + name + " by connection " + std::to_string(r.number) +
              (r.value > 0 ? ", " + std::to_string(r.value) + " before it" : "");
-    case Kind::kNoLink:
+    case Kind::kNoConnection:
       return text + " to " + name + " had room, of " + std::to_string(r.value);
     case Kind::kWritten:
       return text + " to connection " + std::to_string(r.number);
@@ -74,10 +74,10 @@
 std::string end_text(const Timeline& line) {
   if (line.end == Kind::kNone) return "still open";
   std::string text = name_of(line.end);
-  return line.why == Why::kNone ? text : text + " by " + name_of(line.why);
+  return line.why == Reason::kNone ? text : text + " by " + name_of(line.why);
 }
 
-Json parts_json(const Parts& p) {
+Json parts_json(const TimeBreakdown& p) {
   return {{"router", p.router},
           {"connecting", p.connecting},
           {"behind", p.behind},
@@ -128,7 +128,7 @@
                      (line.id.empty() ? "(taken before the recording)" : plain(line.id)) + ": " +
                      end_text(line);
   if (line.whole) {
-    Parts p = line.parts();
+    TimeBreakdown p = line.parts();
     text += " after " + duration_text(line.took()) + ": " + duration_text(p.router) +
             " in the router, " + duration_text(p.connecting) + " waiting for a connection, " +
             duration_text(p.behind) + " behind others, " + duration_text(p.serving) +
@@ -141,23 +141,23 @@
 std::string why_text(const Timeline& line) {
   std::string text;
   if (line.end == Kind::kRefused || line.end == Kind::kFailed) {
-    static const std::map<Why, const char*> kWhy = {
-        {Why::kModule,
+    static const std::map<Reason, const char*> kWhy = {
+        {Reason::kModule,
          "the decision module chose to: no attempt that it could still make was worth it"},
-        {Why::kNoRoute, "the operator file has no route for it"},
-        {Why::kLimit, "a limit or a banner's share of the operator file was reached"},
-        {Why::kBudget, "the retry budget of its route or pool had nothing left"},
-        {Why::kTable, "as many requests were open as the router may hold"},
-        {Why::kBytes, "open requests held as much memory as they may"},
-        {Why::kDeadline, "its time was over"},
-        {Why::kLeft, "its client had ended its sending"},
-        {Why::kShutdown, "the router ended"},
-        {Why::kBad, "its command can't be used"}};
+        {Reason::kNoRoute, "the operator file has no route for it"},
+        {Reason::kLimit, "a limit or a banner's share of the operator file was reached"},
+        {Reason::kBudget, "the retry budget of its route or pool had nothing left"},
+        {Reason::kRequestLimit, "as many requests were open as the router may hold"},
+        {Reason::kMemoryLimit, "open requests held as much memory as they may"},
+        {Reason::kDeadline, "its time was over"},
+        {Reason::kClientLeft, "its client had ended its sending"},
+        {Reason::kShutdown, "the router ended"},
+        {Reason::kBadCommand, "its command can't be used"}};
     auto at = kWhy.find(line.why);
     text += std::string(line.end == Kind::kRefused ? "Refused" : "Failed") + ": " +
             (at == kWhy.end() ? name_of(line.why) : at->second) + ".\n";
   }
-  for (const AttemptLine& a : line.attempts) {
+  for (const AttemptTimeline& a : line.attempts) {
     text += "Attempt " + std::to_string(a.attempt + 1) + " at " +
             (a.server.empty() ? "?" : plain(a.server));
     if (!a.sent)
@@ -210,15 +210,15 @@
                      std::to_string(s.failed) + " failed, " + std::to_string(s.gone) + " left, " +
                      std::to_string(s.open) + " open\n";
   text += "  " + std::to_string(s.dials) + " dials, " + std::to_string(s.dials_failed) +
-          " in vain, " + std::to_string(s.no_link) + " attempts without room on a connection; " +
-          std::to_string(s.late) + " answers late, " + std::to_string(s.second) +
-          " second answers stopped, " + std::to_string(s.after) +
+          " in vain, " + std::to_string(s.no_connection) +
+          " attempts without room on a connection; " + std::to_string(s.late) + " answers late, " +
+          std::to_string(s.second) + " second answers stopped, " + std::to_string(s.after) +
           " attempts after the answer stopped\n";
   for (const auto& [reason, count] : s.reasons)
     text += "  " + reason + ": " + std::to_string(count) + "\n";
-  Parts all;
+  TimeBreakdown all;
   for (const Timeline& line : f.lines) {
-    Parts p = line.parts();
+    TimeBreakdown p = line.parts();
     all.router += p.router, all.connecting += p.connecting, all.behind += p.behind,
         all.serving += p.serving;
   }
@@ -258,7 +258,7 @@
          {"attempts_after", s.after},
          {"dials", s.dials},
          {"dials_failed", s.dials_failed},
-         {"attempts_without_connection", s.no_link},
+         {"attempts_without_connection", s.no_connection},
          {"reasons", Json::object()},
          {"seconds", Json::array()},
          {"problems", f.recording.problems}};
@@ -285,7 +285,7 @@
          {"most", line.parts().largest()},
          {"attempts", Json::array()},
          {"events", Json::array()}};
-  for (const AttemptLine& a : line.attempts)
+  for (const AttemptTimeline& a : line.attempts)
     j["attempts"].push_back({{"server", plain(a.server)},
                              {"connection", a.connection},
                              {"ahead", a.ahead},
--- a/src/kit/ledger/client.cpp
+++ b/src/kit/ledger/client.cpp
@@ -7,7 +7,7 @@
 #include <chrono>
 #include <cstring>
 
-#include "net/peers.hpp"
+#include "net/peer_transport.hpp"
 #include "net/system_io.hpp"
 
 namespace violetusher::kit {
@@ -26,7 +26,8 @@
     error = address + ": " + std::strerror(errno);
     return {};
   }
-  std::string out = net::Peers::wrap(ledger::client_frame(fleet, kind, body)), in, frame;
+  std::string out = net::PeerTransport::encode_frame(ledger::client_frame(fleet, kind, body)), in,
+              frame;
   for (std::size_t at = 0; at < out.size();) {
     ssize_t put = ::send(fd.get(), out.data() + at, out.size() - at, MSG_NOSIGNAL);
     if (put <= 0) {
@@ -46,7 +47,7 @@
     ssize_t got = ::recv(fd.get(), bytes, sizeof bytes, 0);
     if (got <= 0) break;
     in.append(bytes, static_cast<std::size_t>(got));
-    if (net::Peers::unwrap(in, frame) != 1) continue;
+    if (net::PeerTransport::decode_frame(in, frame) != 1) continue;
     if (auto answer = ledger::read_answer(frame)) return answer;
     break;
   }
--- a/src/kit/ledger/command.cpp
+++ b/src/kit/ledger/command.cpp
@@ -196,7 +196,7 @@
   ledger::SqliteStorage storage(o.folder, true);
   ledger::Image image;
   std::string error;
-  if (storage.load(image, error) != ledger::Loaded::kGood)
+  if (storage.load(image, error) != ledger::LoadResult::kOk)
     return wrong(o.folder + ": " + error, kFail);
   print(ledger::describe(image));
   return kPass;
@@ -206,13 +206,13 @@
   ledger::SqliteStorage storage(o.folder);
   ledger::Image image;
   std::string error;
-  if (storage.load(image, error) != ledger::Loaded::kGood)
+  if (storage.load(image, error) != ledger::LoadResult::kOk)
     return wrong(o.folder + ": " + error, kFail);
   std::random_device random;
   auto plan = ledger::plan_rescue(image, o.name, (std::uint64_t{random()} << 32) | 1,
                                   storage.fingerprint(), error);
   if (!plan) return wrong(o.folder + ": " + error, kFail);
-  print(plan->told);
+  print(plan->report);
   if (!o.yes) return wrong("nothing was changed; --yes does it", kFail);
   if (!storage.commit(plan->ops)) return wrong(o.folder + ": " + storage.error(), kFail);
   return kPass;
--- a/src/kit/ledger/rollout.cpp
+++ b/src/kit/ledger/rollout.cpp
@@ -66,8 +66,8 @@
   Seen seen;
   for (const Said& said_by : ask_each(fleet)) {
     const std::string& name = said_by.router;
-    bool first = plan && core::ledger::among_first(*plan, name, names);
-    std::string wants = plan ? core::ledger::label(wanted(*plan, name, names)) : "own";
+    bool first = plan && core::ledger::is_selected(*plan, name, names);
+    std::string wants = plan ? core::ledger::label(target_text(*plan, name, names)) : "own";
     Json one{{"name", name}, {"among_first", first}, {"wants", wants}};
     Json said = said_by.status
                     ? said_by.status->value("rollouts", Json::object()).value(o.name, Json())
@@ -100,9 +100,9 @@
   if (!plan) return out;
   out["number"] = plan->number;
   out["share"] = plan->share;
-  out["under_way"] = plan->under_way();
+  out["under_way"] = plan->in_progress();
   out["next"] = core::ledger::label(plan->next);
-  out["last"] = core::ledger::label(plan->last);
+  out["last"] = core::ledger::label(plan->previous);
   return out;
 }
 
@@ -141,7 +141,7 @@
     }
   }
   std::random_device random;
-  p.plan->mark = (std::uint64_t{random()} << 32) | random();
+  p.plan->nonce = (std::uint64_t{random()} << 32) | random();
   auto put = call_any(*fleet,
                       {Call::Kind::kPut, "file/" + o.name, p.plan->bytes(),
                        static_cast<std::int64_t>(stands->version), "violetusher-kit", 0, 0, 0},
@@ -154,7 +154,7 @@
   std::printf("%s\n", Json{{"number", p.plan->number},
                            {"share", p.plan->share},
                            {"next", core::ledger::label(p.plan->next)},
-                           {"last", core::ledger::label(p.plan->last)},
+                           {"last", core::ledger::label(p.plan->previous)},
                            {"version", put->version}}
                           .dump(1)
                           .c_str());
@@ -162,10 +162,10 @@
 }
 
 int begin(const Options& o) {
-  std::string text, error = net::read_plain_file(o.text, text);
+  std::string text, error = net::read_regular_file(o.text, text);
   if (!error.empty()) return wrong(o.text + ": " + error);
   return step(
-      o, [&](const auto& now) { return core::ledger::begin(now, text, o.share); }, false);
+      o, [&](const auto& now) { return core::ledger::start_rollout(now, text, o.share); }, false);
 }
 
 }  // namespace
@@ -201,7 +201,7 @@
   widens->add_flag("--yes", o->yes, "also where some of the first do not act on it");
   sub("back", "All routers go back to the text before", [o] {
     return step(
-        *o, [](const auto& now) { return core::ledger::back(now); }, false);
+        *o, [](const auto& now) { return core::ledger::roll_back(now); }, false);
   });
   sub("status", "Which router acts on which text; exit 0 where each is where it should be",
       [o] { return status(*o); });
--- a/src/kit/losses/command.cpp
+++ b/src/kit/losses/command.cpp
@@ -21,7 +21,7 @@
   std::vector<LossTable> tables;
   for (const std::string& path : {o.first, o.second}) {
     if (path.empty()) continue;
-    std::string text, error = net::read_plain_file(path, text);
+    std::string text, error = net::read_regular_file(path, text);
     try {
       if (error.empty()) tables.push_back(read_losses(text));
     } catch (const std::runtime_error& e) {
--- a/src/kit/rehearse/oracle.cpp
+++ b/src/kit/rehearse/oracle.cpp
@@ -220,7 +220,7 @@
              a.first_byte,
              "r" + std::to_string(a.router + 1) + " sent to " + name(a.server) + " " +
                  kit::duration_text(a.first_byte - since->at) + " after it was told that it " +
-                 (latest->health == Health::Gone ? "is gone" : "drains"));
+                 (latest->health == Health::Removed ? "is gone" : "drains"));
     }
   }
 
--- a/src/kit/standin/fleet.cpp
+++ b/src/kit/standin/fleet.cpp
@@ -138,11 +138,11 @@
     switch (fault.kind) {
       case FaultKind::kDies:
         cache.die();
-        tell(entry(cache, Health::Gone), spec.notice);
+        tell(entry(cache, Health::Removed), spec.notice);
         break;
       case FaultKind::kVanishes:
         if (fault.until - fault.from > spec.silent_notice)
-          tell(entry(cache, Health::Gone), spec.silent_notice);
+          tell(entry(cache, Health::Removed), spec.silent_notice);
         break;
       case FaultKind::kDrain:
         cache.drain();
@@ -150,7 +150,7 @@
         break;
       case FaultKind::kReplaced: {
         cache.die();
-        tell(entry(cache, Health::Gone), spec.notice);
+        tell(entry(cache, Health::Removed), spec.notice);
         shared_.loop.at(shared_.loop.now() + fault.delay, [this, &cache] {
           shared_.history.servers.push_back(cache.id() + "+");
           cache.rename(static_cast<int>(shared_.history.servers.size()) - 1);
@@ -183,7 +183,7 @@
         break;
       case FaultKind::kDrain:
         cache.die();
-        tell(entry(cache, Health::Gone), spec.notice);
+        tell(entry(cache, Health::Removed), spec.notice);
         break;
       default:
         break;
--- a/src/net/ban_log.cpp
+++ b/src/net/ban_log.cpp
@@ -5,7 +5,7 @@
 #include <algorithm>
 #include <set>
 
-#include "core/ops/call.hpp"
+#include "core/ops/operator_command.hpp"
 
 namespace violetusher::net {
 namespace {
@@ -20,9 +20,9 @@
 
 std::optional<BanLine> parse_line(std::string_view text) {
   std::string error;
-  auto call = core::ops::parse_call(text, error);
+  auto call = core::ops::parse_command(text, error);
   if (!call || call->id.empty()) return std::nullopt;
-  return BanLine{call->id, call->kind == core::ops::Call::Kind::kOffline};
+  return BanLine{call->id, call->kind == core::ops::OperatorCommand::Kind::kOffline};
 }
 
 /// False where another file has taken the name since this one was opened.
@@ -52,7 +52,7 @@
 /// Where the last whole line ends, so that what is torn behind it can be cut off. `size` where the
 /// file ends in more than a line can hold.
 CallStatus end_of_lines(const File& file, std::int64_t size, std::int64_t& end) {
-  char tail[core::ops::kMaxCall];
+  char tail[core::ops::kMaxCommandBytes];
   std::int64_t from = std::max<std::int64_t>(0, size - static_cast<std::int64_t>(sizeof tail));
   std::size_t got = 0;
   CallStatus status = file.read_at(from, tail, static_cast<std::size_t>(size - from), got);
@@ -85,7 +85,7 @@
     if (got == 0) return {};
     at += static_cast<std::int64_t>(got);
     // Of a line that fills the buffer the rest is dropped with it.
-    have = rest.size() > core::ops::kMaxCall ? 0 : rest.size();
+    have = rest.size() > core::ops::kMaxCommandBytes ? 0 : rest.size();
     std::copy(rest.end() - static_cast<std::ptrdiff_t>(have), rest.end(), text.begin());
   }
 }
@@ -131,7 +131,7 @@
     std::size_t end = bytes.find('\n');
     if (end == bytes.npos) {
       // Without its end yet; past the bound it is skipped as it comes.
-      if (bytes.size() <= core::ops::kMaxCall && !too_long_) return;
+      if (bytes.size() <= core::ops::kMaxCommandBytes && !too_long_) return;
       too_long_ = true;
       at_ += static_cast<std::int64_t>(bytes.size());
       return;
--- a/src/net/ban_store.cpp
+++ b/src/net/ban_store.cpp
@@ -69,7 +69,7 @@
     in_file_.clear();
     written_.clear();
   }
-  known_ |= missing || (!status.done() && !status.for_now());
+  known_ |= missing || (!status.done() && !status.is_transient());
   if (!status.done()) return;
   if (news == BanLogReader::News::kOther) promise_again(reader_.lines());
   if (news == BanLogReader::News::kWhole) in_file_.clear();
@@ -125,7 +125,7 @@
 /// What is out: the file's word, and over it what was promised and is not read back from it yet.
 void BanStore::show() {
   out_ = in_file_;
-  if (core::mutant(core::Mutant::kFileOverMemory)) return;
+  if (core::mutant(core::Mutant::kFileOverridesMemory)) return;
   auto lay_over = [this](const BanLine& line) {
     line.out ? static_cast<void>(out_.insert(line.id)) : static_cast<void>(out_.erase(line.id));
   };
--- a/src/net/ban_store.hpp
+++ b/src/net/ban_store.hpp
@@ -27,7 +27,7 @@
   Number promise(const std::string& id, bool out);
   /// Whether the promise outlives a kill.
   bool durable(Number number) const {
-    return number <= durable_to_ || core::mutant(core::Mutant::kYesBeforeDurable);
+    return number <= durable_to_ || core::mutant(core::Mutant::kAcknowledgeBeforeDurable);
   }
   /// Reads and writes what is due. True where it changed what is out.
   bool advance(Micros now);
--- a/src/net/call_result.cpp
+++ b/src/net/call_result.cpp
@@ -23,9 +23,9 @@
     case EADDRNOTAVAIL:
     case ENETDOWN:
     case ENETUNREACH:
-      return CallResult::kNoResources;
+      return CallResult::kTransientError;
     default:
-      return CallResult::kBroken;
+      return CallResult::kPermanentError;
   }
 }
 
@@ -35,7 +35,7 @@
     case EIO:
     case ENETDOWN:
     case ENETUNREACH:
-      return CallResult::kBroken;
+      return CallResult::kPermanentError;
     default:
       return result_of(error);
   }
--- a/src/net/call_result.hpp
+++ b/src/net/call_result.hpp
@@ -9,9 +9,9 @@
 
 enum class CallResult {
   kDone,
-  kWouldBlock,   ///< nothing there, or no room, now
-  kNoResources,  ///< the machine is out of something for now: to be tried again
-  kBroken,       ///< for good
+  kWouldBlock,      ///< nothing there, or no room, now
+  kTransientError,  ///< the machine is out of something for now: to be tried again
+  kPermanentError,  ///< for good
 };
 
 /// Of a file, a listener, or a socket that is not connected yet. EINTR is not asked about:
@@ -35,7 +35,7 @@
   static CallStatus failed(int error) { return {result_of(error), error}; }
   bool done() const { return result == CallResult::kDone; }
   /// Whether trying again may help.
-  bool for_now() const { return !done() && result != CallResult::kBroken; }
+  bool is_transient() const { return !done() && result != CallResult::kPermanentError; }
   std::string reason() const;
 };
 
--- a/src/net/client_connection.cpp
+++ b/src/net/client_connection.cpp
@@ -12,7 +12,7 @@
 constexpr std::size_t kPipelineMax = 32;
 // A command must come within this of its first byte, and the first one within this of the accept.
 // DAYS owes an error or a close within 3 s of connecting, and lets a client take 2 s for a head.
-constexpr Micros kCommandTime = 2 * kSecond + 2 * kSecond / 5;
+constexpr Micros kCommandTimeout = 2 * kSecond + 2 * kSecond / 5;
 // A connection with no request open is closed after this, the least that DAYS allows. Kept longer
 // they pile up, as some clients ask once and never close, and the places that clients have run out.
 constexpr Micros kIdleTime = 2 * kSecond;
@@ -58,7 +58,7 @@
 void ClientConnection::read() {
   ssize_t got = side_.io_.recv(socket_.number(), side_.scratch_.get(), ClientSide::kScratch);
   if (got < 0) {
-    if (got == Io::kBroken) side_.close(*this, CloseReason::kClientGone);  // a reset
+    if (got == Io::kBroken) side_.close(*this, CloseReason::kClientClosed);  // a reset
     return;
   }
   if (lingering_) {
@@ -153,7 +153,7 @@
   std::string().swap(held_);
   watch_->read(false);
   if (vacant()) {
-    side_.close(*this, CloseReason::kClientGone);
+    side_.close(*this, CloseReason::kClientClosed);
     return;
   }
   for (ClientSlot& slot : slots_)
@@ -211,7 +211,7 @@
     iovec rest{out_.data() + out_at_, out_.size() - out_at_};
     ssize_t put = side_.io_.send(socket_.number(), &rest, 1);
     if (put == Io::kBroken) {
-      side_.close(*this, CloseReason::kClientGone);
+      side_.close(*this, CloseReason::kClientClosed);
       return;
     }
     if (put < 0) {
@@ -252,7 +252,7 @@
   else
     side_.close(*this, lingering_       ? end_reason_
                        : stalled_since_ ? CloseReason::kStalled
-                                        : CloseReason::kCommandTime);
+                                        : CloseReason::kCommandTimeout);
 }
 
 bool ClientConnection::end_resting(CloseReason reason) {
@@ -283,13 +283,13 @@
 void ClientConnection::finish(CloseReason reason) {
   if (lingering_) return;
   if (eof_) {
-    side_.close(*this, CloseReason::kClientGone);
+    side_.close(*this, CloseReason::kClientClosed);
     return;
   }
   lingering_ = true;
   end_reason_ = reason;
   since_ = side_.io_.now();
-  side_.io_.shut_sending(socket_.number());
+  side_.io_.shutdown_send(socket_.number());
   watch_->read(true);
 }
 
@@ -305,8 +305,8 @@
   if (lingering_) return now - since_ > kLingerTime;
   if (stalled_since_ && now - stalled_since_ > kStallTime) return true;
   if (!vacant()) return false;  // its requests have deadlines of their own
-  if (in_command()) return now - since_ > kCommandTime;
-  return now - used_at_ > (spoken_ ? kIdleTime : kCommandTime);
+  if (in_command()) return now - since_ > kCommandTimeout;
+  return now - used_at_ > (spoken_ ? kIdleTime : kCommandTimeout);
 }
 
 void ClientConnection::account() {
--- a/src/net/client_side.cpp
+++ b/src/net/client_side.cpp
@@ -17,7 +17,7 @@
 
 }  // namespace
 
-ClientSide::ClientSide(Io& io, Handler& handler, Limits limits, core::Guard* guard)
+ClientSide::ClientSide(Io& io, Handler& handler, Limits limits, core::InvariantChecker* guard)
     : io_(io),
       handler_(handler),
       limits_(limits),
@@ -42,8 +42,8 @@
   return start_accepting(std::move(listener));
 }
 
-bool ClientSide::listen_besides(const std::map<std::string, std::string>& addresses,
-                                std::string& error) {
+bool ClientSide::update_listeners(const std::map<std::string, std::string>& addresses,
+                                  std::string& error) {
   std::vector<std::unique_ptr<Listener>> fresh;
   auto same = [](const Listener& l, const auto& wanted) {
     return !l.retiring && l.name == wanted.first && l.address == wanted.second;
@@ -110,7 +110,7 @@
       case Io::Accepted::kNoDescriptor:
         if (!evict()) pause_accepting(true);
         return false;
-      case Io::Accepted::kLater:
+      case Io::Accepted::kTransientError:
         if (core::mutant(core::Mutant::kEvictAtAnyShortage)) evict();
         pause_accepting(true);
         return false;
@@ -135,13 +135,13 @@
     if (c->lingering_ && (!oldest || c->since_ < oldest->since_)) oldest = c.get();
   if (oldest) {
     oldest->discard_input();
-    close(*oldest, CloseReason::kRoom);
+    close(*oldest, CloseReason::kEvicted);
     return true;
   }
   if (end_resting([](const ClientConnection&) { return true; })) return true;
   for (auto& c : connections_)
     if (c->vacant() && c->in_command() && (!oldest || c->since_ < oldest->since_)) oldest = c.get();
-  if (oldest) close(*oldest, CloseReason::kRoom);
+  if (oldest) close(*oldest, CloseReason::kEvicted);
   return oldest != nullptr;
 }
 
@@ -159,11 +159,11 @@
   std::sort(resting.begin(), resting.end(),
             [](const auto* a, const auto* b) { return a->used_at_ < b->used_at_; });
   if (core::mutant(core::Mutant::kEvictAtAnyShortage) && !resting.empty()) {
-    close(*resting.front(), CloseReason::kRoom);
+    close(*resting.front(), CloseReason::kEvicted);
     return true;
   }
   for (ClientConnection* c : resting)
-    if (c->end_resting(CloseReason::kRoom)) return true;
+    if (c->end_resting(CloseReason::kEvicted)) return true;
   return false;
 }
 
@@ -176,7 +176,7 @@
     for (auto& c : connections_)
       if (!most || c->accounted_ > most->accounted_) most = c.get();
     if (!most) return;
-    close(*most, CloseReason::kBuffers);
+    close(*most, CloseReason::kBufferLimit);
   }
 }
 
@@ -217,7 +217,7 @@
     RequestId owed = 0;
     for (const ClientSlot& slot : c.slots_)
       if (slot.id && !slot.done) owed = slot.id;
-    guard_->close(reason, owed ? 1 : 0, owed);
+    guard_->on_close(reason, owed ? 1 : 0, owed);
   }
   for (ClientSlot& slot : c.slots_)
     if (slot.id && !slot.done) handler_.on_gone(slot.id);
@@ -286,7 +286,7 @@
   ClientSlot* slot = std::exchange(owed.slot_, nullptr);
   if (!slot) return;
   slot->id = 0;  // who calls knows of its end
-  close(*slot->connection, CloseReason::kValueCut);
+  close(*slot->connection, CloseReason::kValueTruncated);
 }
 
 void ClientSide::say(ClientSlot& slot, std::string_view text) {
--- a/src/net/client_side.hpp
+++ b/src/net/client_side.hpp
@@ -9,7 +9,7 @@
 #include <string_view>
 #include <vector>
 
-#include "core/guard/guard.hpp"
+#include "core/guard/invariants.hpp"
 #include "io.hpp"
 #include "protocol/meta.hpp"
 
@@ -79,7 +79,7 @@
   };
 
   /// `guard` outlives it.
-  ClientSide(Io& io, Handler& handler, Limits limits, core::Guard* guard = nullptr);
+  ClientSide(Io& io, Handler& handler, Limits limits, core::InvariantChecker* guard = nullptr);
   ~ClientSide();
 
   /// Listens on `address`; false with the reason in `error`.
@@ -89,7 +89,7 @@
   /// Listens besides on just these addresses, by name; the name comes with the commands of its
   /// connections. All or nothing: false with the reason in `error`, and nothing has changed. One
   /// that goes is emptied first, and its connections go on.
-  bool listen_besides(const std::map<std::string, std::string>& addresses, std::string& error);
+  bool update_listeners(const std::map<std::string, std::string>& addresses, std::string& error);
   /// The port that a listener got, the platform's where no name is given; for tests that ask for
   /// port 0. 0 where there is none.
   std::uint16_t port(const std::string& name = {}) const;
@@ -161,7 +161,7 @@
   Io& io_;
   Handler& handler_;
   Limits limits_;
-  core::Guard* guard_;
+  core::InvariantChecker* guard_;
   std::vector<std::unique_ptr<Listener>> listeners_;
   std::unique_ptr<Alarm> sweep_alarm_;
   bool accept_paused_ = false;
--- a/src/net/config.cpp
+++ b/src/net/config.cpp
@@ -5,7 +5,7 @@
 #include <cstdlib>
 #include <nlohmann/json.hpp>
 
-#include "core/ops/retune.hpp"
+#include "core/ops/settings_update.hpp"
 #include "file_io.hpp"
 #include "io.hpp"
 
@@ -60,7 +60,7 @@
   else if (health == "leaving")
     h.server.health = violetusher::Health::Draining;
   else if (health == "left")
-    h.server.health = violetusher::Health::Gone;
+    h.server.health = violetusher::Health::Removed;
   else
     throw ConfigError("hosts: health '" + health + "'");
   h.server.weight = figure("share", 1);
@@ -68,7 +68,7 @@
   h.server.up_since =
       static_cast<violetusher::Micros>(std::clamp(figure("born_ms", 0), 0.0, 1e15)) * 1000;
   if (h.server.id.empty()) throw ConfigError("hosts: an entry without host");
-  if (h.server.health != violetusher::Health::Gone && h.dial.empty())
+  if (h.server.health != violetusher::Health::Removed && h.dial.empty())
     throw ConfigError("hosts: " + h.server.id + " without dial");
   return h;
 }
@@ -88,7 +88,7 @@
 void add_entry(HostList& list, std::map<std::string, std::size_t>& places, const Json& entry) {
   try {
     Host host = host_of(entry);
-    if (host.server.health != violetusher::Health::Gone && !parse_address(host.dial))
+    if (host.server.health != violetusher::Health::Removed && !parse_address(host.dial))
       throw ConfigError("hosts: " + host.server.id + ": no address: '" + host.dial + "'");
     add_host(list, places, std::move(host));
   } catch (const ConfigError& e) {
@@ -162,7 +162,7 @@
   c.sockets = static_cast<std::size_t>(std::min(sockets, 1e6));
   if (auto known = json.find("known"); known != json.end() && !known->is_null()) {
     try {
-      c.known = host_list_of(*known);
+      c.initial_hosts = host_list_of(*known);
     } catch (const ConfigError& e) {
       throw ConfigError(std::string("known: ") + e.what());
     }
@@ -176,7 +176,7 @@
   try {
     violetusher::protocol::SettingPairs by_path(pairs.begin(), pairs.end());
     c.settings = violetusher::protocol::settings_of(by_path);
-    c.links = violetusher::protocol::link_settings_of(by_path);
+    c.connection_settings = violetusher::protocol::connection_settings_of(by_path);
   } catch (const std::runtime_error& e) {
     throw ConfigError(std::string("settings: ") + e.what());
   }
@@ -211,7 +211,7 @@
   CallStatus status = read_whole_file(path, kMostConfig, text);
   if (!status.done())
     throw UnreadableError(std::string("NODE_CONFIG: cannot read ") + path + ": " + status.reason(),
-                          status.for_now());
+                          status.is_transient());
   if (text.empty()) throw ConfigError(std::string("NODE_CONFIG: ") + path + " is empty");
   return parse_config(text);
 }
@@ -224,7 +224,7 @@
 void complete(const Config& c) {
   if (c.listen.empty()) throw ConfigError("listen: missing");
   if (c.discovery.empty()) throw ConfigError("discovery: missing");
-  if (std::string why = core::ops::why_unfit(c.settings); !why.empty())
+  if (std::string why = core::ops::settings_error(c.settings); !why.empty())
     throw ConfigError("settings: " + why);
 }
 
@@ -236,7 +236,7 @@
   if (auto set = variable("NODE_LISTEN")) c.listen = set;
   if (auto set = variable("NODE_DISCOVERY")) c.discovery = set;
   if (auto set = variable("NODE_OPERATOR")) c.operator_listen = set;
-  if (auto set = variable("TMPDIR")) c.scratch = set;
+  if (auto set = variable("TMPDIR")) c.state_directory = set;
   if (auto set = variable("NODE_ACCEPT_FD")) {
     char* end = nullptr;
     long fd = std::strtol(set, &end, 10);
--- a/src/net/config.hpp
+++ b/src/net/config.hpp
@@ -17,8 +17,9 @@
 /// A file could not be read, or made. That says nothing of what stands in it: it is to be tried
 /// again.
 struct UnreadableError : ConfigError {
-  UnreadableError(const std::string& what, bool for_now) : ConfigError(what), for_now(for_now) {}
-  bool for_now;  ///< trying again may help without anybody's doing
+  UnreadableError(const std::string& what, bool is_transient)
+      : ConfigError(what), is_transient(is_transient) {}
+  bool is_transient;  ///< trying again may help without anybody's doing
 };
 
 /// One cache server as discovery lists it.
@@ -46,14 +47,14 @@
   std::string name, listen, discovery;
   std::string operator_listen;  ///< where operators call; empty where the platform names none
   int accept_fd = -1;           ///< the clients' listening socket, where the platform holds it
-  std::string scratch;          ///< a folder that outlives the process; may be empty
+  std::string state_directory;  ///< a folder that outlives the process; may be empty
   std::uint64_t seed = 0;
   std::size_t memory_bytes = 0;
   std::size_t sockets = 0;
-  HostList known;
+  HostList initial_hosts;
   violetusher::Settings settings;
   std::vector<std::string> paths;  ///< of all that the file had; see core::ops::missing_path
-  violetusher::protocol::LinkSettings links;
+  violetusher::protocol::ConnectionSettings connection_settings;
 };
 
 /// Reads the file that NODE_CONFIG names; the other NODE_ variables, where set, come before it.
--- a/src/net/discovery.cpp
+++ b/src/net/discovery.cpp
@@ -6,8 +6,8 @@
 namespace violetusher::net {
 namespace {
 
-using core::membership::Answer;
-using core::membership::Take;
+using core::membership::ListDecision;
+using core::membership::ListResponse;
 
 const char* const kPath = "/discovery/hosts";
 // Calls are ended by core::membership; this is for one whose connection hangs all the same.
@@ -35,20 +35,20 @@
 }  // namespace
 
 Discovery::Discovery(Io& io, const std::string& address, const std::string& held,
-                     const core::membership::Terms& terms, std::uint64_t seed, Handler& handler,
-                     Log& log)
+                     const core::membership::WatchTiming& terms, std::uint64_t seed,
+                     Handler& handler, Log& log)
     : io_(io),
       handler_(handler),
       log_(log),
       address_(address),
-      insists_(terms.insists),
+      insists_(terms.always_retries),
       calls_(*this, terms, held, seed),
       alarm_(io.alarm([this] {
-        calls_.due(io_.now());
+        calls_.run_due(io_.now());
         arm();
       })) {
-  calls_.born(io.now());
-  for (int k = 0; k < core::membership::Calls::kPlaces; ++k) {
+  calls_.set_started(io.now());
+  for (int k = 0; k < core::membership::WatchScheduler::kPlaces; ++k) {
     auto place = static_cast<Place>(k);
     gets_[place] = io.http([this, place](auto answer) { answered(place, answer); });
   }
@@ -70,13 +70,13 @@
 
 void Discovery::move(const std::string& address) {
   address_ = address;
-  calls_.move(io_.now());
+  calls_.change_address(io_.now());
   arm();
 }
 
-void Discovery::use(const core::membership::Terms& terms) {
-  if (!calls_.use(terms)) return;
-  insists_ = terms.insists;
+void Discovery::use(const core::membership::WatchTiming& terms) {
+  if (!calls_.set_timing(terms)) return;
+  insists_ = terms.always_retries;
   watch();
 }
 
@@ -87,9 +87,9 @@
   gets_[place]->start(address_, path, wait + kHttpSlack);
 }
 
-void Discovery::drop(Place place) { gets_[place]->stop(); }
+void Discovery::cancel(Place place) { gets_[place]->stop(); }
 
-void Discovery::gave_up() { handler_.on_hosts_failed(); }
+void Discovery::on_watch_lost() { handler_.on_hosts_failed(); }
 
 void Discovery::arm() {
   if (age() > kOld && !quiet_) {
@@ -100,7 +100,7 @@
                    " s; the list is as old, and goes on being used",
                {{"address", std::string_view(address_)}, {"age_s", old}});
   }
-  if (auto next = calls_.next())
+  if (auto next = calls_.next_due())
     alarm_->set(std::max<Micros>(*next - io_.now(), 0));
   else
     alarm_->clear();
@@ -130,25 +130,25 @@
 
 void Discovery::answered(Place place, const std::optional<HttpGet::Answer>& http) {
   std::optional<HostList> list = list_of(http);
-  Answer answer;
+  ListResponse answer;
   if (list) {
     answer.list = true;
     answer.sound = list->fault.empty();
     answer.version = list->version;
     answer.whole = list->whole;
   }
-  std::string held = calls_.held();
-  Take take = calls_.answered(place, io_.now(), answer);
+  std::string held = calls_.version();
+  ListDecision take = calls_.on_response(place, io_.now(), answer);
   if (answer.sound && quiet_) {
     quiet_ = false;
     log_.write(io_.now(), Log::Level::kInfo, "discovery-heard", "discovery: heard again",
                {{"address", std::string_view(address_)}});
   }
   arm();
-  if (take == Take::kNo) return;  // there may be no list
+  if (take == ListDecision::kIgnore) return;  // there may be no list
   // Of a watch that insists and is made some times a second, nothing new is nothing to be told.
   bool news = !insists_ || list->whole || !list->hosts.empty() || list->version != held;
-  if (news) handler_.on_hosts(std::move(*list), take == Take::kDoubted);
+  if (news) handler_.on_hosts(std::move(*list), take == ListDecision::kApplyUnconfirmed);
 }
 
 }  // namespace violetusher::net
--- a/src/net/discovery.hpp
+++ b/src/net/discovery.hpp
@@ -8,18 +8,18 @@
 #include <string>
 
 #include "config.hpp"
-#include "core/membership/calls.hpp"
+#include "core/membership/watch_scheduler.hpp"
 #include "io.hpp"
 #include "log.hpp"
 
 namespace violetusher::net {
 
-class Discovery final : core::membership::Calls::Port {
+class Discovery final : core::membership::WatchScheduler::Port {
  public:
   class Handler {
    public:
     virtual ~Handler() = default;
-    /// `doubted`: discovery may know less than what is held; see HostBook::take().
+    /// `doubted`: discovery may know less than what is held; see HostRegistry::take().
     virtual void on_hosts(HostList&& list, bool doubted) = 0;
     /// No watch is under way and none will be before watch().
     virtual void on_hosts_failed() = 0;
@@ -28,7 +28,8 @@
   /// start, and begin again after failures without being asked to. Nothing is called back before
   /// start().
   Discovery(Io& io, const std::string& address, const std::string& held,
-            const core::membership::Terms& terms, std::uint64_t seed, Handler& handler, Log& log);
+            const core::membership::WatchTiming& terms, std::uint64_t seed, Handler& handler,
+            Log& log);
   void start();
   /// Begins a watch, anew where one is under way.
   void watch();
@@ -39,20 +40,20 @@
   void move(const std::string& address);
 
   /// Calls by other terms from now on; a watch begins anew where they differ.
-  void use(const core::membership::Terms& terms);
+  void use(const core::membership::WatchTiming& terms);
 
   /// How long ago an answer last showed what the list is, or since the start.
-  Micros age() const { return io_.now() - calls_.heard_at(); }
+  Micros age() const { return io_.now() - calls_.last_response_at(); }
   /// Calls made since the start.
-  std::uint64_t calls() const { return calls_.made(); }
+  std::uint64_t calls() const { return calls_.calls_made(); }
 
  private:
-  using Place = core::membership::Calls::Place;
+  using Place = core::membership::WatchScheduler::Place;
 
   // core::membership::Calls::Port
   void start(Place place, const std::string& version, Micros wait) override;
-  void drop(Place place) override;
-  void gave_up() override;
+  void cancel(Place place) override;
+  void on_watch_lost() override;
 
   void answered(Place place, const std::optional<HttpGet::Answer>& http);
   std::optional<HostList> list_of(const std::optional<HttpGet::Answer>& answer);
@@ -66,8 +67,8 @@
   std::string fault_;   // the last one told
   bool quiet_ = false;  // that nothing was heard for long was told
   bool insists_;
-  core::membership::Calls calls_;
-  std::array<std::unique_ptr<HttpGet>, core::membership::Calls::kPlaces> gets_;
+  core::membership::WatchScheduler calls_;
+  std::array<std::unique_ptr<HttpGet>, core::membership::WatchScheduler::kPlaces> gets_;
   std::unique_ptr<Alarm> alarm_;
 };
 
--- a/src/net/flight_file.cpp
+++ b/src/net/flight_file.cpp
@@ -15,11 +15,11 @@
 
 FlightFile::FlightFile(const std::string& path, std::size_t bytes, const std::string& name,
                        Micros now)
-    : path_(path), bytes_(bytes / core::flight::kBlock * core::flight::kBlock) {
+    : path_(path), bytes_(bytes / core::flight::kBlockBytes * core::flight::kBlockBytes) {
   auto fail = [&](const char* what) {
     CallStatus status = CallStatus::failed();
     throw UnreadableError("recorder: " + path + ": " + what + ": " + status.reason(),
-                          status.for_now());
+                          status.is_transient());
   };
   // What the process before has left is what somebody may want to read.
   if (::rename(path.c_str(), (path + ".before").c_str()) != 0 && errno != ENOENT)
--- a/src/net/host_book.cpp
+++ b/src/net/host_registry.cpp
@@ -1,16 +1,16 @@
-#include "host_book.hpp"
+#include "host_registry.hpp"
 
 namespace violetusher::net {
 
 using violetusher::Health;
 
-void HostBook::keep(const HostList& told) {
+void HostRegistry::keep(const HostList& told) {
   version_ = told.version;
   std::map<std::string, Host> before;
   if (told.whole) before.swap(hosts_);
   for (const Host& host : told.hosts) {
     const std::string& id = host.server.id;
-    if (host.server.health != Health::Gone)
+    if (host.server.health != Health::Removed)
       hosts_[id] = host;
     else if (auto node = hosts_.extract(id))
       before.insert(std::move(node));
@@ -25,7 +25,7 @@
 }
 
 /// Whether the same process was told to leave before, or has left.
-bool HostBook::leaves(const Host& told) const {
+bool HostRegistry::leaves(const Host& told) const {
   if (auto it = hosts_.find(told.server.id); it != hosts_.end())
     return it->second.server.health != Health::Ready &&
            it->second.server.up_since == told.server.up_since;
@@ -33,16 +33,16 @@
   return it != left_.end() && it->second == told.server.up_since;
 }
 
-Host HostBook::masked(Host host) const {
-  if (host.server.health == Health::Ready && out(host.server.id))
+Host HostRegistry::masked(Host host) const {
+  if (host.server.health == Health::Ready && is_banned(host.server.id))
     host.server.health = Health::Draining;
   return host;
 }
 
-HostList HostBook::take(HostList&& told, bool doubted) {
+HostList HostRegistry::apply(HostList&& told, bool doubted) {
   for (Host& host : told.hosts)
-    host.server.up_since = starts_.of(host.server.id, host.server.up_since);
-  if (told.whole) starts_.forget_unasked();
+    host.server.up_since = starts_.start_of(host.server.id, host.server.up_since);
+  if (told.whole) starts_.forget_unused();
   if (doubted)
     for (Host& host : told.hosts)
       if (host.server.health == Health::Ready && leaves(host))
@@ -55,7 +55,7 @@
   return std::move(told);
 }
 
-HostList HostBook::set_out(const std::string& id, bool out) {
+HostList HostRegistry::set_banned(const std::string& id, bool out) {
   HostList change;
   change.version = version_;
   bool changed = out ? out_.insert(id).second : out_.erase(id) > 0;
--- a/src/net/host_book.hpp
+++ b/src/net/host_registry.hpp
@@ -16,27 +16,27 @@
 
 namespace violetusher::net {
 
-class HostBook {
+class HostRegistry {
  public:
-  explicit HostBook(const HostList& known) { keep(known); }
+  explicit HostRegistry(const HostList& known) { keep(known); }
 
   /// An answer of discovery came at `now`, with its own time `date` in it; see StartTimes.
-  void heard(Micros now, Micros date) { starts_.heard(now, date); }
+  void on_response(Micros now, Micros date) { starts_.on_response(now, date); }
   /// Takes over what discovery tells and gives the list as the router is to take it. Entries that
   /// could not be used stay as they were. `doubted`: discovery may know less than what is held, so
   /// whoever was told to leave, or has left lately, stays so unless started anew.
-  HostList take(HostList&& told, bool doubted = false);
+  HostList apply(HostList&& told, bool doubted = false);
   /// Takes the server out, or puts it back. What the router is to hear of it; no hosts where
   /// nothing changes for it.
-  HostList set_out(const std::string& id, bool out);
+  HostList set_banned(const std::string& id, bool out);
 
-  bool out(const std::string& id) const { return out_.count(id) > 0; }
+  bool is_banned(const std::string& id) const { return out_.count(id) > 0; }
   /// Whether an operator can mean this one: it is listed, or was taken out before it left.
-  bool known(const std::string& id) const { return hosts_.count(id) > 0 || out(id); }
+  bool known(const std::string& id) const { return hosts_.count(id) > 0 || is_banned(id); }
   std::size_t size() const { return hosts_.size(); }
   /// Of the list, as discovery named it; empty before the first.
   const std::string& version() const { return version_; }
-  const std::set<std::string>& all_out() const { return out_; }
+  const std::set<std::string>& banned_ids() const { return out_; }
   /// Calls `f` with each listed server as the router is to take it.
   template <typename F>
   void each(F&& f) const {
--- a/src/net/io.hpp
+++ b/src/net/io.hpp
@@ -57,7 +57,7 @@
   enum Ready : unsigned {
     kReadable = 1,
     kWritable = 2,
-    kLimit = 4,
+    kTimeout = 4,
     kPeerEnded = 8,  ///< with kReadable, where the system tells: see Io::peer_ended()
   };
   class Target {
@@ -105,15 +105,15 @@
   enum class Accepted {
     kNone,
     kOne,
-    kNoDescriptor,  ///< this process may not open another one
-    kLater,         ///< the machine is out of something for now; says nothing of this process
+    kNoDescriptor,    ///< this process may not open another one
+    kTransientError,  ///< the machine is out of something for now; says nothing of this process
   };
 
   virtual ~Io() = default;
   /// Monotonic, with Unix time as its origin; see Clock. It stands still between two callbacks and
   /// calls of renew(): what happens in one go happens at one time, and the clock is read once.
   virtual Micros now() const = 0;
-  virtual void renew() = 0;
+  virtual void update_time() = 0;
 
   /// Listens; an empty Socket with the reason in `error` where it can't.
   virtual Socket listen(const sockaddr_in& address, std::string& error) = 0;
@@ -123,10 +123,10 @@
   virtual std::uint16_t port(int listener) const = 0;
   /// The next connection that waits.
   virtual Accepted accept(int listener, Socket& socket) = 0;
-  /// Begins to connect; the end shows as writable. kDone with the socket; kNoResources where this
-  /// machine is out of something for now, which says nothing of the peer; else kBroken.
+  /// Begins to connect; the end shows as writable. kDone with the socket; kTransientError where
+  /// this machine is out of something for now, which says nothing of the peer; else kBroken.
   virtual CallResult connect(const sockaddr_in& address, Socket& socket) = 0;
-  /// Whether connect() has come to a good end (kDone); asked once it is writable. kNoResources
+  /// Whether connect() has come to a good end (kDone); asked once it is writable. kTransientError
   /// where that can't be told now.
   virtual CallResult connected(int socket) = 0;
   /// Bytes read, 0 at the end of the stream, kAgain or kBroken.
@@ -140,11 +140,11 @@
   /// bytes that it sent before are still unread. False where that can't be told now: ask again.
   virtual bool peer_ended(int socket) = 0;
   /// Ends the sending side.
-  virtual void shut_sending(int socket) = 0;
+  virtual void shutdown_send(int socket) = 0;
   virtual void close(int socket) = 0;
 
   virtual std::unique_ptr<Watch> watch(int socket, Watch::Target& target) = 0;
-  virtual std::unique_ptr<Alarm> alarm(std::function<void()> rings) = 0;
+  virtual std::unique_ptr<Alarm> alarm(std::function<void()> on_expiry) = 0;
   virtual std::unique_ptr<HttpGet> http(HttpGet::Done done) = 0;
 
   /// Waits for something to happen and calls whom it concerns.
--- a/src/net/log.hpp
+++ b/src/net/log.hpp
@@ -45,7 +45,7 @@
   LogSink& sink_;
   core::log::Format format_ = core::log::Format::kText;
   Level least_ = Level::kInfo;
-  core::log::RateBound bound_;
+  core::log::EventRateLimiter bound_;
   std::uint64_t lost_ = 0;  // lines that the sink did not take
 };
 
--- a/src/net/operations.cpp
+++ b/src/net/operations.cpp
@@ -3,7 +3,7 @@
 #include <algorithm>
 #include <vector>
 
-#include "core/ops/call.hpp"
+#include "core/ops/operator_command.hpp"
 
 namespace violetusher::net {
 namespace {
@@ -16,25 +16,25 @@
 /// Of the folder that outlives the process and the router's name, as it is the same after a
 /// restart.
 std::string ban_path(const Config& config) {
-  if (config.operator_listen.empty() || config.scratch.empty()) return {};
+  if (config.operator_listen.empty() || config.state_directory.empty()) return {};
   std::string name = config.name;
   std::replace(name.begin(), name.end(), '/', '_');
-  return config.scratch + "/violetusher-" + name + ".bans";
+  return config.state_directory + "/violetusher-" + name + ".bans";
 }
 
 }  // namespace
 
-Operations::Operations(Io& io, const Config& config, const core::ops::Figures& figures,
+Operations::Operations(Io& io, const Config& config, const core::ops::Metrics& figures,
                        Handler& handler, Log& log)
     : io_(io),
       config_(config),
       figures_(figures),
       handler_(handler),
       log_(log),
-      hosts_(config.known),
+      hosts_(config.initial_hosts),
       bans_(ban_path(config)),
       side_(io, [this](std::string_view line,
-                       OperatorSide::Later later) { return answer(line, std::move(later)); }),
+                       OperatorListener::Later later) { return answer(line, std::move(later)); }),
       look_alarm_(io.alarm([this] { look(); })) {}
 
 void Operations::start() {
@@ -99,29 +99,30 @@
   waiting_.swap(rest);
 }
 
-void Operations::hold(const std::set<std::string>& out) {
+void Operations::apply_bans(const std::set<std::string>& out) {
   if (promises_) follow(out);
 }
 
 void Operations::follow(const std::set<std::string>& out) {
   std::vector<std::string> back;
-  for (const std::string& id : hosts_.all_out())
+  for (const std::string& id : hosts_.banned_ids())
     if (!out.count(id)) back.push_back(id);
-  for (const std::string& id : back) handler_.on_out_or_back(hosts_.set_out(id, false));
+  for (const std::string& id : back) handler_.on_ban_change(hosts_.set_banned(id, false));
   for (const std::string& id : out)
-    if (!hosts_.out(id)) handler_.on_out_or_back(hosts_.set_out(id, true));
+    if (!hosts_.is_banned(id)) handler_.on_ban_change(hosts_.set_banned(id, true));
 }
 
-std::optional<std::string> Operations::answer(std::string_view line, OperatorSide::Later later) {
-  using Kind = core::ops::Call::Kind;
+std::optional<std::string> Operations::answer(std::string_view line,
+                                              OperatorListener::Later later) {
+  using Kind = core::ops::OperatorCommand::Kind;
   std::string error;
-  auto call = core::ops::parse_call(line, error);
+  auto call = core::ops::parse_command(line, error);
   if (!call) return "FAILURE " + error + "\r\n";
   bool out = call->kind == Kind::kOffline;
   if (promises_ && (out || call->kind == Kind::kOnline)) {
     // Put back it may be without being listed here: another router took it out.
     if (out && !hosts_.known(call->id)) return "FAILURE no such cache server\r\n";
-    promises_->put_out(call->id, out, [later = std::move(later)](std::string why) {
+    promises_->set_banned(call->id, out, [later = std::move(later)](std::string why) {
       later(why.empty() ? "SUCCESS\r\n" : "FAILURE " + why + "\r\n");
     });
     return std::nullopt;
@@ -130,7 +131,7 @@
     case Kind::kHealth:
       return "SUCCESS\r\n";
     case Kind::kDump:
-      return figures_.json(handler_.standing()) + "\r\nEOT\r\n";
+      return figures_.json(handler_.current_figures()) + "\r\nEOT\r\n";
     case Kind::kOffline:
       return put(call->id, true, std::move(later));
     default:
@@ -139,14 +140,14 @@
 }
 
 std::optional<std::string> Operations::put(const std::string& id, bool out,
-                                           OperatorSide::Later later) {
+                                           OperatorListener::Later later) {
   sync();
   if (!hosts_.known(id)) return "FAILURE no such cache server\r\n";
-  if (out && !hosts_.out(id) && hosts_.all_out().size() >= kMostBans)
+  if (out && !hosts_.is_banned(id) && hosts_.banned_ids().size() >= kMostBans)
     return "FAILURE too many cache servers are out\r\n";
   // Also where it is so already: an earlier call may not be written down yet.
   BanStore::Number number = bans_.promise(id, out);
-  if (hosts_.out(id) != out) {
+  if (hosts_.is_banned(id) != out) {
     log_.write(io_.now(), Log::Level::kInfo, out ? "server-out" : "server-back",
                "operator: " + id + (out ? " taken out" : " put back"),
                {{"server", std::string_view(id)}});
--- a/src/net/operations.hpp
+++ b/src/net/operations.hpp
@@ -10,10 +10,10 @@
 
 #include "ban_store.hpp"
 #include "config.hpp"
-#include "core/ops/figures.hpp"
-#include "host_book.hpp"
+#include "core/ops/metrics.hpp"
+#include "host_registry.hpp"
 #include "log.hpp"
-#include "operator_side.hpp"
+#include "operator_listener.hpp"
 
 namespace violetusher::net {
 
@@ -23,22 +23,22 @@
    public:
     virtual ~Handler() = default;
     /// What is to be heard of a server that was taken out, or put back.
-    virtual void on_out_or_back(HostList&& change) = 0;
-    virtual core::ops::Figures::Now standing() = 0;
+    virtual void on_ban_change(HostList&& change) = 0;
+    virtual core::ops::Metrics::Gauges current_figures() = 0;
   };
 
   /// What is held for the whole fleet, where there is a ledger.
-  class Promises {
+  class FleetBans {
    public:
-    virtual ~Promises() = default;
+    virtual ~FleetBans() = default;
     /// Takes a server out at every router, or puts it back. `done` hears why not; nothing in `why`
     /// once it holds for good. Within a second, and never from within the call.
-    virtual void put_out(const std::string& id, bool out,
-                         std::function<void(std::string why)> done) = 0;
+    virtual void set_banned(const std::string& id, bool out,
+                            std::function<void(std::string why)> done) = 0;
   };
 
   /// All that is given outlives it. Does nothing where `config` names no address for operators.
-  Operations(Io& io, const Config& config, const core::ops::Figures& figures, Handler& handler,
+  Operations(Io& io, const Config& config, const core::ops::Metrics& figures, Handler& handler,
              Log& log);
 
   /// Takes over the bans that are kept, and listens; where that fails, it is tried again.
@@ -47,26 +47,26 @@
   /// where it is not.
   bool bans_known();
   /// From now on `promises` says which servers are out, through hold(), and no longer the file.
-  void use(Promises& promises) { promises_ = &promises; }
-  void hold(const std::set<std::string>& out);
-  HostBook& hosts() { return hosts_; }
-  const HostBook& hosts() const { return hosts_; }
+  void use_fleet_bans(FleetBans& promises) { promises_ = &promises; }
+  void apply_bans(const std::set<std::string>& out);
+  HostRegistry& hosts() { return hosts_; }
+  const HostRegistry& hosts() const { return hosts_; }
   /// 0 while it doesn't listen.
   std::uint16_t port() const { return side_.listening() ? side_.port() : 0; }
 
  private:
-  std::optional<std::string> answer(std::string_view line, OperatorSide::Later later);
+  std::optional<std::string> answer(std::string_view line, OperatorListener::Later later);
   /// An operator who waits until a ban is durable.
   struct Waiting {
     BanStore::Number number = 0;
     Micros until = 0;
     std::string id;
     bool out = false;
-    OperatorSide::Later later;
+    OperatorListener::Later later;
   };
 
   void follow(const std::set<std::string>& out);
-  std::optional<std::string> put(const std::string& id, bool out, OperatorSide::Later later);
+  std::optional<std::string> put(const std::string& id, bool out, OperatorListener::Later later);
   void sync();
   void look();
   void listen();
@@ -75,15 +75,15 @@
 
   Io& io_;
   const Config& config_;
-  const core::ops::Figures& figures_;
+  const core::ops::Metrics& figures_;
   Handler& handler_;
   Log& log_;
-  HostBook hosts_;
+  HostRegistry hosts_;
   BanStore bans_;
   std::vector<Waiting> waiting_;
   std::string told_trouble_;
-  Promises* promises_ = nullptr;
-  OperatorSide side_;
+  FleetBans* promises_ = nullptr;
+  OperatorListener side_;
   std::unique_ptr<Alarm> look_alarm_;
   Micros listen_at_ = 0;  // not listening: when to try again
 };
--- a/src/net/operator_file.cpp
+++ b/src/net/operator_file.cpp
@@ -19,7 +19,7 @@
 
 }  // namespace
 
-std::string read_plain_file(const std::string& path, std::string& text, CallStatus* status) {
+std::string read_regular_file(const std::string& path, std::string& text, CallStatus* status) {
   CallStatus read = read_whole_file(path, config::kMostBytes, text);
   if (status) *status = read;
   switch (read.error) {
@@ -40,8 +40,8 @@
                                     const Candidate& candidate, CallStatus* unread) {
   auto read = [&](const std::string& from, std::string& text) {
     CallStatus status;
-    std::string why = read_plain_file(from, text, &status);
-    if (unread && status.for_now()) *unread = status;
+    std::string why = read_regular_file(from, text, &status);
+    if (unread && status.is_transient()) *unread = status;
     return why;
   };
   auto load = [&](const std::string& from, const std::string& name) {
--- a/src/net/operator_file.hpp
+++ b/src/net/operator_file.hpp
@@ -14,8 +14,8 @@
 
 /// The whole of an ordinary file of at most `core::config::kMostBytes`; returns what is wrong,
 /// empty where nothing is. Never waits: a fifo is turned away.
-std::string read_plain_file(const std::string& path, std::string& text,
-                            CallStatus* status = nullptr);
+std::string read_regular_file(const std::string& path, std::string& text,
+                              CallStatus* status = nullptr);
 
 /// A file that is not yet where it is to be: read from `from` wherever `path` is named.
 struct Candidate {
--- a/src/net/operator_side.cpp
+++ b/src/net/operator_listener.cpp
@@ -1,8 +1,8 @@
-#include "operator_side.hpp"
+#include "operator_listener.hpp"
 
 #include <algorithm>
 
-#include "core/ops/call.hpp"
+#include "core/ops/operator_command.hpp"
 
 namespace violetusher::net {
 namespace {
@@ -15,9 +15,9 @@
 
 }  // namespace
 
-class OperatorSide::Caller final : Watch::Target {
+class OperatorListener::Caller final : Watch::Target {
  public:
-  Caller(OperatorSide& side, Socket socket)
+  Caller(OperatorListener& side, Socket socket)
       : side_(side),
         socket_(std::move(socket)),
         watch_(side.io_.watch(socket_.number(), *this)),
@@ -34,7 +34,7 @@
 
  private:
   void read() {
-    char bytes[core::ops::kMaxCall];
+    char bytes[core::ops::kMaxCommandBytes];
     ssize_t got = side_.io_.recv(socket_.number(), bytes, sizeof bytes);
     if (got == Io::kAgain) return;
     if (got < 0 || (got == 0 && answered_)) {
@@ -45,7 +45,7 @@
     if (answered_) return;  // more than one line: dropped
     line_.append(bytes, static_cast<std::size_t>(got));
     std::size_t end = line_.find('\n');
-    if (end == line_.npos && got > 0 && line_.size() < core::ops::kMaxCall) return;
+    if (end == line_.npos && got > 0 && line_.size() < core::ops::kMaxCommandBytes) return;
     if (got == 0 && line_.empty()) {
       closed_ = true;
       watch_->read(false);
@@ -87,11 +87,11 @@
       }
       out_.erase(0, static_cast<std::size_t>(put));
     }
-    side_.io_.shut_sending(socket_.number());
+    side_.io_.shutdown_send(socket_.number());
     until_ = side_.io_.now() + kLingerTime;
   }
 
-  OperatorSide& side_;
+  OperatorListener& side_;
   Socket socket_;
   std::unique_ptr<Watch> watch_;
   std::shared_ptr<Caller*> self_ = std::make_shared<Caller*>(this);
@@ -101,12 +101,12 @@
   Micros until_;
 };
 
-OperatorSide::OperatorSide(Io& io, Answer answer)
+OperatorListener::OperatorListener(Io& io, Answer answer)
     : io_(io), answer_(std::move(answer)), sweep_alarm_(io.alarm([this] { sweep(); })) {}
 
-OperatorSide::~OperatorSide() = default;
+OperatorListener::~OperatorListener() = default;
 
-bool OperatorSide::listen(const sockaddr_in& address, std::string& error) {
+bool OperatorListener::listen(const sockaddr_in& address, std::string& error) {
   listener_ = io_.listen(address, error);
   if (!listener_) return false;
   accept_watch_ = io_.watch(listener_.number(), *this);
@@ -115,21 +115,21 @@
   return true;
 }
 
-void OperatorSide::on_ready(unsigned) {
+void OperatorListener::on_ready(unsigned) {
   for (int most = 8; most-- > 0;) {
-    if (callers_.size() >= kMost) callers_.erase(callers_.begin());
+    if (callers_.size() >= kMaxConnections) callers_.erase(callers_.begin());
     Socket socket;
     Io::Accepted accepted = io_.accept(listener_.number(), socket);
     if (accepted == Io::Accepted::kNoDescriptor && !callers_.empty())
       callers_.erase(callers_.begin());
-    if (accepted == Io::Accepted::kNoDescriptor || accepted == Io::Accepted::kLater)
+    if (accepted == Io::Accepted::kNoDescriptor || accepted == Io::Accepted::kTransientError)
       accept_watch_->read(false);  // the sweep tries again
     if (accepted != Io::Accepted::kOne) return;
     callers_.push_back(std::make_unique<Caller>(*this, std::move(socket)));
   }
 }
 
-void OperatorSide::sweep() {
+void OperatorListener::sweep() {
   sweep_alarm_->set(kSweep);
   accept_watch_->read(true);
   Micros now = io_.now();
--- a/src/net/operator_side.hpp
+++ b/src/net/operator_listener.hpp
@@ -13,17 +13,17 @@
 
 namespace violetusher::net {
 
-class OperatorSide final : Watch::Target {
+class OperatorListener final : Watch::Target {
  public:
   /// Connections open at once; beyond, the one that has waited longest goes.
-  static constexpr std::size_t kMost = 16;
+  static constexpr std::size_t kMaxConnections = 16;
   /// Says the answer to a call that had none at once; goes nowhere where the caller has gone.
   using Later = std::function<void(std::string text)>;
   /// The answer to a call's line, each of its lines with an end, or nothing: then `later` says it.
   using Answer = std::function<std::optional<std::string>(std::string_view line, Later later)>;
 
-  OperatorSide(Io& io, Answer answer);
-  ~OperatorSide() override;
+  OperatorListener(Io& io, Answer answer);
+  ~OperatorListener() override;
 
   /// False with the reason in `error`.
   bool listen(const sockaddr_in& address, std::string& error);
--- a/src/net/peers.cpp
+++ b/src/net/peer_transport.cpp
@@ -1,4 +1,4 @@
-#include "peers.hpp"
+#include "peer_transport.hpp"
 
 #define XXH_INLINE_ALL
 #include <xxhash.h>
@@ -47,9 +47,9 @@
   std::size_t at_ = 0;
 };
 
-class Peers::Caller final : Watch::Target {
+class PeerTransport::Caller final : Watch::Target {
  public:
-  Caller(Peers& peers, Socket socket, std::uint64_t link)
+  Caller(PeerTransport& peers, Socket socket, std::uint64_t link)
       : peers_(peers),
         link_(link),
         socket_(std::move(socket)),
@@ -81,7 +81,7 @@
     if (got <= 0) return close();
     std::string frame;
     int taken = 0;
-    while (!closed_ && (taken = unwrap(in_, frame)) == 1) peers_.frames_(frame, link_);
+    while (!closed_ && (taken = decode_frame(in_, frame)) == 1) peers_.frames_(frame, link_);
     if (taken < 0) close();
     if (in_.empty()) in_.shrink_to_fit();
   }
@@ -91,7 +91,7 @@
     if (more) watch_->write_once();
   }
 
-  Peers& peers_;
+  PeerTransport& peers_;
   std::uint64_t link_;
   Socket socket_;
   std::unique_ptr<Watch> watch_;
@@ -100,9 +100,9 @@
   bool closed_ = false;
 };
 
-class Peers::Dialled final : Watch::Target {
+class PeerTransport::Dialled final : Watch::Target {
  public:
-  Dialled(Peers& peers, const sockaddr_in& address) : peers_(peers), address_(address) {}
+  Dialled(PeerTransport& peers, const sockaddr_in& address) : peers_(peers), address_(address) {}
 
   void send(const std::string& bytes) {
     if (!socket_) dial();
@@ -111,7 +111,7 @@
   }
   void on_ready(unsigned what) override {
     if (!up_ &&
-        ((what & Watch::kLimit) || peers_.io_.connected(socket_.number()) != CallResult::kDone))
+        ((what & Watch::kTimeout) || peers_.io_.connected(socket_.number()) != CallResult::kDone))
       return drop();
     if (!up_) {
       up_ = true;
@@ -162,7 +162,7 @@
   }
 
  private:
-  Peers& peers_;
+  PeerTransport& peers_;
   sockaddr_in address_;
   Socket socket_;
   std::unique_ptr<Watch> watch_;
@@ -171,8 +171,8 @@
   bool up_ = false, waits_ = false, dead_ = false;
 };
 
-Peers::Peers(Io& io, const std::map<std::string, std::string>& addresses, Frames frames,
-             std::function<std::uint64_t()> random)
+PeerTransport::PeerTransport(Io& io, const std::map<std::string, std::string>& addresses,
+                             Frames frames, std::function<std::uint64_t()> random)
     : io_(io),
       frames_(std::move(frames)),
       random_(std::move(random)),
@@ -183,9 +183,9 @@
   sweep_alarm_->set(kSweep);
 }
 
-Peers::~Peers() = default;
+PeerTransport::~PeerTransport() = default;
 
-bool Peers::listen(const sockaddr_in& address, std::string& error) {
+bool PeerTransport::listen(const sockaddr_in& address, std::string& error) {
   listener_ = io_.listen(address, error);
   if (!listener_) return false;
   accept_watch_ = io_.watch(listener_.number(), *this);
@@ -193,11 +193,11 @@
   return true;
 }
 
-void Peers::on_ready(unsigned) {
+void PeerTransport::on_ready(unsigned) {
   for (int most = 16; most-- > 0;) {
     Socket socket;
     Io::Accepted accepted = io_.accept(listener_.number(), socket);
-    if (accepted == Io::Accepted::kNoDescriptor || accepted == Io::Accepted::kLater)
+    if (accepted == Io::Accepted::kNoDescriptor || accepted == Io::Accepted::kTransientError)
       accept_watch_->read(false);  // the sweep tries again
     if (accepted != Io::Accepted::kOne) return;
     if (callers_.size() >= kMostCallers) callers_.erase(callers_.begin());
@@ -206,24 +206,24 @@
   }
 }
 
-void Peers::sweep() {
+void PeerTransport::sweep() {
   sweep_alarm_->set(kSweep);
   if (accept_watch_) accept_watch_->read(true);
   std::erase_if(callers_, [](const auto& c) { return c.second->closed(); });
   for (auto& [name, dialled] : dialled_) dialled->sweep();
 }
 
-void Peers::send(const std::string& name, const std::string& frame) {
+void PeerTransport::send(const std::string& name, const std::string& frame) {
   auto it = dialled_.find(name);
-  if (it != dialled_.end() && frame.size() <= kMostFrame) it->second->send(wrap(frame));
+  if (it != dialled_.end() && frame.size() <= kMostFrame) it->second->send(encode_frame(frame));
 }
 
-void Peers::reply(std::uint64_t link, const std::string& frame) {
+void PeerTransport::reply(std::uint64_t link, const std::string& frame) {
   auto it = callers_.find(link);
-  if (it != callers_.end() && frame.size() <= kMostFrame) it->second->reply(wrap(frame));
+  if (it != callers_.end() && frame.size() <= kMostFrame) it->second->reply(encode_frame(frame));
 }
 
-std::string Peers::wrap(const std::string& frame) {
+std::string PeerTransport::encode_frame(const std::string& frame) {
   std::string bytes(kHead, '\0');
   std::uint64_t sum = XXH3_64bits(frame.data(), frame.size());
   for (std::size_t i = 0; i < 4; ++i) bytes[i] = static_cast<char>(frame.size() >> (8 * i));
@@ -231,7 +231,7 @@
   return bytes + frame;
 }
 
-int Peers::unwrap(std::string& bytes, std::string& frame) {
+int PeerTransport::decode_frame(std::string& bytes, std::string& frame) {
   if (bytes.size() < kHead) return 0;
   auto number = [&](std::size_t from, std::size_t count) {
     std::uint64_t n = 0;
--- a/src/net/peers.hpp
+++ b/src/net/peer_transport.hpp
@@ -16,7 +16,7 @@
 
 namespace violetusher::net {
 
-class Peers final : Watch::Target {
+class PeerTransport final : Watch::Target {
  public:
   static constexpr std::size_t kMostFrame = 8u << 20;     ///< bytes
   static constexpr std::size_t kMostWaiting = 16u << 20;  ///< bytes that wait for one router
@@ -28,9 +28,9 @@
 
   /// `addresses`: where each router listens, by name; those that are none are never reached.
   /// `random`: draws for how long to wait before a router is dialled again.
-  Peers(Io& io, const std::map<std::string, std::string>& addresses, Frames frames,
-        std::function<std::uint64_t()> random);
-  ~Peers() override;
+  PeerTransport(Io& io, const std::map<std::string, std::string>& addresses, Frames frames,
+                std::function<std::uint64_t()> random);
+  ~PeerTransport() override;
 
   bool listen(const sockaddr_in& address, std::string& error);
   std::uint16_t port() const { return io_.port(listener_.number()); }
@@ -41,9 +41,9 @@
   std::size_t callers() const { return callers_.size(); }
 
   /// A frame as it goes over a connection.
-  static std::string wrap(const std::string& frame);
+  static std::string encode_frame(const std::string& frame);
   /// Takes one whole frame off the front of `bytes`. 1: taken, 0: more has to come, -1: it is none.
-  static int unwrap(std::string& bytes, std::string& frame);
+  static int decode_frame(std::string& bytes, std::string& frame);
 
  private:
   class Caller;
--- a/src/net/pool_set.cpp
+++ b/src/net/pool_set.cpp
@@ -29,7 +29,7 @@
       handler_(handler),
       most_(std::max<std::size_t>(4, config.memory_bytes / kModulePart / kModuleBytes)) {
   make(kWhole, {}, {}, now);
-  handler_.on_module_list(kWhole, ListScope::Cached, servers_of(config.known));
+  handler_.on_module_list(kWhole, ListScope::Cached, servers_of(config.initial_hosts));
 }
 
 /// Each module draws from a seed of its own; that of the whole list from the router's.
@@ -55,8 +55,8 @@
   return it == traffic_->model().pools.end() ? nullptr : &it->second;
 }
 
-void PoolSet::operate(std::shared_ptr<const core::Traffic> traffic) {
-  if (!traffic_) hosts_ = config_.known;
+void PoolSet::operate(std::shared_ptr<const core::TrafficPolicy> traffic) {
+  if (!traffic_) hosts_ = config_.initial_hosts;
   traffic_ = std::move(traffic);
   addresses_.clear();
   for (const auto& [name, pool] : traffic_->model().pools)
@@ -130,7 +130,7 @@
   if (scope == ListScope::Full) module.members.clear();
   std::vector<Server> mine;
   for (const Server& server : servers) {
-    bool gone = server.health == Health::Gone;
+    bool gone = server.health == Health::Removed;
     if (gone ? module.members.count(server.id) == 0 : !core::selected(module.selection, server))
       continue;
     if (gone)
@@ -155,7 +155,7 @@
 }
 
 void PoolSet::retune(const violetusher::Settings& settings) {
-  for (auto& [number, module] : modules_) module->balancer->retune(settings);
+  for (auto& [number, module] : modules_) module->balancer->update_settings(settings);
 }
 
 void PoolSet::lists_failed() {
@@ -173,7 +173,7 @@
   for (Host& host : list.hosts) {
     auto old = std::find_if(hosts_.hosts.begin(), hosts_.hosts.end(),
                             [&](const Host& h) { return h.server.id == host.server.id; });
-    bool gone = host.server.health == Health::Gone;
+    bool gone = host.server.health == Health::Removed;
     if (old == hosts_.hosts.end()) {
       if (!gone) hosts_.hosts.push_back(std::move(host));
     } else if (gone) {
@@ -250,7 +250,7 @@
 
 /// Price caches of the discovery list drop one another's repeats where the class's group is all of
 /// them; fixed addresses are not known to belong to it.
-bool PoolSet::shares_repeats(const std::string& name) const {
+bool PoolSet::shares_deduplication(const std::string& name) const {
   const core::config::Pool* wanted = pool(name);
   if (!wanted || !wanted->servers.empty()) return false;
   for (const auto& c : config_.settings.classes)
--- a/src/net/pool_set.hpp
+++ b/src/net/pool_set.hpp
@@ -16,12 +16,12 @@
 #include <vector>
 
 #include "config.hpp"
-#include "core/route/traffic.hpp"
+#include "core/route/traffic_policy.hpp"
 #include "io.hpp"
 
 namespace violetusher::net {
 
-class PoolSet final : public core::Traffic::PoolState {
+class PoolSet final : public core::TrafficPolicy::PoolState {
  public:
   static constexpr std::uint32_t kWhole = 0;  ///< the module of the whole list
 
@@ -49,7 +49,7 @@
 
   /// From here on the pools of `traffic` are there. Modules of pools that select other servers now,
   /// or are gone, go with their last request. Throws nothing.
-  void operate(std::shared_ptr<const core::Traffic> traffic);
+  void operate(std::shared_ptr<const core::TrafficPolicy> traffic);
   /// Counts one more request in the module of the pool, which is made where there is none, and
   /// gives its number. Nothing where there are as many modules as may be, all in use. Call where no
   /// call of a module is under way.
@@ -76,7 +76,7 @@
 
   // core::Traffic::PoolState
   bool has_live(const std::string& pool) const override;
-  bool shares_repeats(const std::string& pool) const override;
+  bool shares_deduplication(const std::string& pool) const override;
 
  private:
   const core::config::Pool* pool(const std::string& name) const;
@@ -98,7 +98,7 @@
   std::size_t most_;
   bool gone_ = false;  // some module is to be freed
   Micros looked_at_ = 0;
-  std::shared_ptr<const core::Traffic> traffic_;
+  std::shared_ptr<const core::TrafficPolicy> traffic_;
   HostList hosts_;  // as discovery has told it; only while an operator file is in use
 };
 
--- a/src/net/request_actions.cpp
+++ b/src/net/request_actions.cpp
@@ -32,7 +32,7 @@
   r.repeat = c.repeat;
   r.write = c.set;
   open->expiry =
-      p_.timers.set(open->deadline, {.kind = Timers::Due::Kind::kExpiry, .token = open->id});
+      p_.timers.set(open->deadline, {.kind = Timers::Task::Kind::kExpiry, .token = open->id});
   return true;
 }
 
@@ -58,17 +58,17 @@
   open->attempts.push_back({.server = a.server, .sent = now});
   // An answer may have come while the module did not know of it yet.
   if (spent || open->answered() || now >= open->deadline) {
-    if (!spent && open->answered()) note(Kind::kAfter, a.id, attempt, 0, 0, a.server);
-    tell_outcome(*open, attempt, Status::Moot, nullptr);
+    if (!spent && open->answered()) note(Kind::kAttemptAfterAnswer, a.id, attempt, 0, 0, a.server);
+    tell_outcome(*open, attempt, Status::NotSent, nullptr);
     return;
   }
   Micros wait = open->deadline - now;
-  if (a.patience > 0 && a.patience < wait) {
-    wait = a.patience;
+  if (a.attempt_timeout > 0 && a.attempt_timeout < wait) {
+    wait = a.attempt_timeout;
     open->attempts.back().patience = p_.timers.set(
-        now + wait, {.kind = Timers::Due::Kind::kAttempt, .attempt = attempt, .token = open->id});
+        now + wait, {.kind = Timers::Task::Kind::kAttempt, .attempt = attempt, .token = open->id});
   }
-  p_.servers.send(a.server, a.id, attempt, open->command, now + wait, a.until);
+  p_.servers.send(a.server, a.id, attempt, open->command, now + wait, a.send_before);
 }
 
 /// The budget's word on another attempt. Where it says no and nothing else is under way, the
@@ -76,7 +76,7 @@
 bool RequestCore::within_budget(OpenRequest& open) {
   Micros now = p_.io.now();
   if (open.attempts.empty()) {
-    open.traffic->on_first(now, open.ticket);
+    open.traffic->on_first_attempt(now, open.ticket);
     return true;
   }
   bool hedge = open.any_out();
@@ -84,7 +84,7 @@
   if (hedge) return false;
   bool ran = std::any_of(open.attempts.begin(), open.attempts.end(),
                          [](const Attempt& a) { return a.may_have_run; });
-  give(open, ran && !open.command.idempotency.empty() ? kFailedReply : kBusyReply, Why::kBudget);
+  give(open, ran && !open.command.idempotency.empty() ? kFailedReply : kBusyReply, Reason::kBudget);
   tell_gone(open);
   return false;
 }
@@ -92,7 +92,7 @@
 void RequestCore::refuse(const violetusher::Refuse& a) {
   OpenRequest* open = table_.find(a.id);
   if (!open || open->answered()) return;
-  give(*open, Reply(Reply::Kind::Busy, a.wait), Why::kModule);
+  give(*open, Reply(Reply::Kind::Busy, a.retry_after), Reason::kModule);
   withdraw_unsent(*open);
   forget_if_done(*open);
 }
@@ -100,7 +100,7 @@
 void RequestCore::fail(const violetusher::Fail& a) {
   OpenRequest* open = table_.find(a.id);
   if (!open || open->answered()) return;
-  give(*open, kFailedReply, Why::kModule);
+  give(*open, kFailedReply, Reason::kModule);
   withdraw_unsent(*open);
   forget_if_done(*open);
 }
@@ -111,7 +111,8 @@
   Attempt& one = open->attempt(a.attempt);
   if (!one.out || a.attempt == open->streaming) return;
   Status status = p_.servers.cancel(one.server, a.id, a.attempt);
-  note(Kind::kCancelled, a.id, a.attempt, 0, static_cast<std::int64_t>(status), {}, Why::kModule);
+  note(Kind::kCancelled, a.id, a.attempt, 0, static_cast<std::int64_t>(status), {},
+       Reason::kModule);
   tell_outcome(*open, a.attempt, status, nullptr);
 }
 
@@ -122,7 +123,7 @@
   if (a.request && !open) return;
   Timers::Handle timer =
       p_.timers.set(p_.io.now() + a.after,
-                    {.kind = Timers::Due::Kind::kModule, .module = module, .token = a.token});
+                    {.kind = Timers::Task::Kind::kModule, .module = module, .token = a.token});
   if (open) open->asked.push_back(timer);
 }
 
--- a/src/net/request_core.cpp
+++ b/src/net/request_core.cpp
@@ -24,8 +24,9 @@
     : p_(parts), table_(bounds) {}
 
 void RequestCore::note(Kind kind, RequestId id, int attempt, std::uint32_t number,
-                       std::int64_t value, std::string_view text, Why why) {
-  if (p_.recorder.on()) p_.recorder.note(p_.io.now(), kind, id, attempt, number, value, text, why);
+                       std::int64_t value, std::string_view text, Reason why) {
+  if (p_.recorder.on())
+    p_.recorder.record(p_.io.now(), kind, id, attempt, number, value, text, why);
 }
 
 void RequestCore::alert(const char* what) {
@@ -50,18 +51,19 @@
   bool keyed = type != classes.end() && type->effect == violetusher::Effect::Keyed;
   if (type == classes.end() || !tenant || table_.knows(command.id) ||
       (keyed && command.idempotency.empty()))
-    return turn_away(id, std::move(owed), command, kBadReply, Why::kBad);
+    return turn_away(id, std::move(owed), command, kBadReply, Reason::kBadCommand);
   if (table_.full() ||
       p_.timers.size() > kTimersEach * table_.most())  // the module sees none of it
-    return turn_away(id, std::move(owed), command, kBusyReply, Why::kTable);
-  if (table_.heavy()) return turn_away(id, std::move(owed), command, kBusyReply, Why::kBytes);
+    return turn_away(id, std::move(owed), command, kBusyReply, Reason::kRequestLimit);
+  if (table_.heavy())
+    return turn_away(id, std::move(owed), command, kBusyReply, Reason::kMemoryLimit);
 
   // Nobody waits longer than the class lets him, so no request is held for longer.
   Micros now = p_.io.now();
   Micros wait = std::min(static_cast<Micros>(command.wait_ms * 1000), type->deadline);
   if (command.work && *command.work > type->deadline) command.work.reset();  // no guess at all
 
-  core::Traffic::Ticket ticket;
+  core::TrafficPolicy::Ticket ticket;
   std::uint32_t module = PoolSet::kWhole;
   if (traffic_) {
     std::string_view listener =
@@ -70,16 +72,16 @@
     auto decision = traffic_->admit(now, request, keyed, p_.pools);
     if (!decision.admitted) {
       Reply reply = kBusyReply;
-      if (settings.retry_after && decision.come_back > 0)
-        reply.come_back = std::min(decision.come_back, settings.max_retry_after);
+      if (settings.retry_after && decision.retry_after > 0)
+        reply.retry_after = std::min(decision.retry_after, settings.max_retry_after);
       return turn_away(id, std::move(owed), command, reply,
-                       decision.ticket.route ? Why::kLimit : Why::kNoRoute);
+                       decision.ticket.route ? Reason::kLimit : Reason::kNoRoute);
     }
     ticket = std::move(decision.ticket);
     auto entered = p_.pools.enter(*ticket.pool, now);
     if (!entered) {
       traffic_->end(now, ticket, true);
-      return turn_away(id, std::move(owed), command, kBusyReply, Why::kTable);
+      return turn_away(id, std::move(owed), command, kBusyReply, Reason::kRequestLimit);
     }
     module = *entered;
   } else {
@@ -94,7 +96,7 @@
   open.traffic = ticket.pool ? traffic_ : nullptr;
   open.ticket = std::move(ticket);
   open.untold = 1;
-  note(Kind::kTaken, id, -1, 0, wait, open.command.id);
+  note(Kind::kReceived, id, -1, 0, wait, open.command.id);
   if (open.traffic) note(Kind::kRouted, id, -1, module, 0, *open.ticket.pool);
   p_.feed.push(RequestEvent{module, id});
   return id;
@@ -102,7 +104,7 @@
 
 void RequestCore::count(const std::string& type, Reply::Kind kind) {
   if (account_ && kind == Reply::Kind::Busy) account_->refused(type);
-  using End = core::ops::Figures::End;
+  using End = core::ops::Metrics::Outcome;
   bool served = kind == Reply::Kind::Value || kind == Reply::Kind::Stored;
   p_.figures.count(type, served                      ? End::kSuccess
                          : kind == Reply::Kind::Busy ? End::kOverload
@@ -111,9 +113,9 @@
 
 /// The final answer to a request that never comes to the table.
 RequestId RequestCore::turn_away(RequestId id, Owed&& owed, const Command& command,
-                                 const Reply& reply, Why why) {
-  note(Kind::kTaken, id, -1, 0, static_cast<std::int64_t>(command.wait_ms * 1000), command.id);
-  note(Kind::kRefused, id, -1, 0, reply.come_back, {}, why);
+                                 const Reply& reply, Reason why) {
+  note(Kind::kReceived, id, -1, 0, static_cast<std::int64_t>(command.wait_ms * 1000), command.id);
+  note(Kind::kRefused, id, -1, 0, reply.retry_after, {}, why);
   count(command.type, reply.kind);
   p_.clients.answer(std::move(owed), command.id, reply);
   return 0;
@@ -126,7 +128,7 @@
 void RequestCore::on_left(RequestId id) {
   OpenRequest* open = table_.find(id);
   if (!open || open->answered()) return;
-  give(*open, kFailedReply, Why::kLeft);
+  give(*open, kFailedReply, Reason::kClientLeft);
   tell_gone(*open);
 }
 
@@ -140,10 +142,10 @@
     Attempt& a = open->attempt(open->streaming);
     Status status = p_.servers.cancel(a.server, id, open->streaming);
     note(Kind::kCancelled, id, open->streaming, 0, static_cast<std::int64_t>(status), {},
-         Why::kLeft);
+         Reason::kClientLeft);
     tell_outcome(*open, open->streaming, status, nullptr);
   }
-  note(Kind::kGone, id);
+  note(Kind::kClientGone, id);
   if (open->traffic) open->traffic->end(p_.io.now(), open->ticket, false);
   tell_gone(*open);
 }
@@ -161,10 +163,10 @@
 }
 
 /// The one final answer. Whoever comes second is stopped here.
-void RequestCore::give(OpenRequest& open, const Reply& reply, Why why) {
-  p_.guard.answer(open.id, !open.answered());
+void RequestCore::give(OpenRequest& open, const Reply& reply, Reason why) {
+  p_.guard.on_final_response(open.id, !open.answered());
   if (open.answered()) {
-    note(Kind::kSecond, open.id, -1, 0, 0, {}, why);
+    note(Kind::kSecondAnswer, open.id, -1, 0, 0, {}, why);
     alert("second-answer");
     return;
   }
@@ -173,7 +175,7 @@
   if (reply.kind == Reply::Kind::Value || reply.kind == Reply::Kind::Stored)
     note(Kind::kAnswered, open.id, -1, static_cast<std::uint32_t>(reply.value.size()));
   else
-    note(refused ? Kind::kRefused : Kind::kFailed, open.id, -1, 0, reply.come_back, {}, why);
+    note(refused ? Kind::kRefused : Kind::kFailed, open.id, -1, 0, reply.retry_after, {}, why);
   book(open, reply.kind);
   p_.clients.answer(std::move(open.owed), open.command.id, reply);
   if (now > open.deadline + kLateSlack) {
@@ -185,7 +187,7 @@
 void RequestCore::fail_all() {
   table_.each([this](OpenRequest& open) {
     if (open.answered()) return;
-    give(open, kFailedReply, Why::kShutdown);
+    give(open, kFailedReply, Reason::kShutdown);
     tell_gone(open);
   });
 }
@@ -196,33 +198,33 @@
   OpenRequest* open = table_.find(id);
   if (!open) return;
   if (open->streaming == attempt) end_stream(*open, status == Status::Ok);
-  if (status == Status::Miss && !p_.config.settings.aside) status = Status::Error;
+  if (status == Status::Miss && !p_.config.settings.cache_aside) status = Status::Error;
   if (status == Status::Ok && !open->answered()) {
     Reply reply;
     reply.kind = answer.kind == Answer::Kind::Value ? Reply::Kind::Value : Reply::Kind::Stored;
     reply.value = answer.value;
     reply.receipt = answer.receipt;
-    give(*open, reply, Why::kNone);
+    give(*open, reply, Reason::kNone);
   }
   if (open->attempt(attempt).out) tell_outcome(*open, attempt, status, &answer);
   forget_if_done(*open);
 }
 
-void RequestCore::on_attempt_written(RequestId id, int attempt, bool wanted, Micros told_until) {
+void RequestCore::on_attempt_written(RequestId id, int attempt, bool wanted, Micros sent_deadline) {
   OpenRequest* open = table_.find(id);
-  core::Guard::Begin begin;
+  core::InvariantChecker::AttemptStart begin;
   begin.request = id;
-  begin.wanted = wanted;
-  begin.open = open && !open->answered();
-  begin.told_until = told_until;
+  begin.server_available = wanted;
+  begin.request_open = open && !open->answered();
+  begin.sent_deadline = sent_deadline;
   if (open) {
     begin.server = open->attempt(attempt).server;
     begin.deadline = open->deadline;
-    begin.copies_allowed = p_.config.settings.second_copies;
+    begin.hedges_allowed = p_.config.settings.may_hedge;
     for (std::size_t k = 0; k < open->attempts.size(); ++k)
-      begin.copy |= static_cast<int>(k) != attempt && open->attempts[k].out;
+      begin.hedge |= static_cast<int>(k) != attempt && open->attempts[k].out;
   }
-  p_.guard.begin(begin);
+  p_.guard.on_attempt_start(begin);
 }
 
 /// The final answer to a request, but for the rest of its value: from here it has no deadline and
@@ -263,18 +265,18 @@
 }
 
 /// The attempt's patience, or the client's, is over.
-void RequestCore::expire(const Timers::Due& due) {
+void RequestCore::expire(const Timers::Task& due) {
   OpenRequest* open = table_.find(due.token);
   if (!open) return;
-  if (due.kind == Timers::Due::Kind::kLast) {
+  if (due.kind == Timers::Task::Kind::kLast) {
     open->expiry = 0;
     if (!open->answered()) {
-      give(*open, kFailedReply, Why::kDeadline);
+      give(*open, kFailedReply, Reason::kDeadline);
       tell_gone(*open);  // or the module would hold on to it
     }
     return;
   }
-  bool all = due.kind == Timers::Due::Kind::kExpiry;
+  bool all = due.kind == Timers::Task::Kind::kExpiry;
   if (all) open->expiry = 0;
   for (std::size_t k = 0; k < open->attempts.size(); ++k) {
     Attempt& a = open->attempts[k];
@@ -282,27 +284,27 @@
     if (!a.out || attempt == open->streaming || (!all && attempt != due.attempt)) continue;
     // Where there may be no second copy the next attempt waits until this one is over, and one
     // whose connection stays open for others is not.
-    bool alone = all || p_.config.settings.second_copies;
+    bool alone = all || p_.config.settings.may_hedge;
     if (!alone && !p_.servers.may_give_up(a.server, open->id, attempt)) continue;
     Status status = p_.servers.cancel(a.server, open->id, attempt);
     note(Kind::kCancelled, open->id, attempt, 0, static_cast<std::int64_t>(status), {},
-         Why::kDeadline);
-    tell_outcome(*open, attempt, status == Status::Moot ? Status::ConnectFailed : Status::Timeout,
-                 nullptr);
+         Reason::kDeadline);
+    tell_outcome(*open, attempt,
+                 status == Status::NotSent ? Status::ConnectFailed : Status::Timeout, nullptr);
   }
   if (all && !open->answered())
     open->expiry = p_.timers.set(p_.io.now() + kLastAnswer,
-                                 {.kind = Timers::Due::Kind::kLast, .token = open->id});
+                                 {.kind = Timers::Task::Kind::kLast, .token = open->id});
 }
 
 void RequestCore::tell_outcome(OpenRequest& open, int attempt, Status status, Answer* answer) {
   Attempt& a = open.attempt(attempt);
   a.out = false;
   a.may_have_run =
-      status != Status::Full && status != Status::ConnectFailed && status != Status::Moot;
+      status != Status::Overloaded && status != Status::ConnectFailed && status != Status::NotSent;
   p_.timers.cancel(a.patience);
   // Cancelled and moot ones tell nothing, a miss is an answer.
-  if (open.traffic && status != Status::Cancelled && status != Status::Moot)
+  if (open.traffic && status != Status::Cancelled && status != Status::NotSent)
     open.traffic->on_attempt_end(p_.io.now(), open.ticket,
                                  status != Status::Ok && status != Status::Miss);
   note(Kind::kEnd, open.id, attempt, 0, static_cast<std::int64_t>(status), a.server);
@@ -314,7 +316,7 @@
   e.outcome.latency = (a.begun ? a.begun : p_.io.now()) - a.sent;
   e.outcome.attempt = attempt;
   if (answer) {
-    e.outcome.note = answer->note;
+    e.outcome.cache_result = answer->note;
     e.outcome.report = answer->report;
   }
   ++open.untold;
@@ -327,7 +329,7 @@
   for (std::size_t k = 0; k < open.attempts.size(); ++k) {
     int attempt = static_cast<int>(k);
     if (open.attempts[k].out && p_.servers.withdraw(open.attempts[k].server, open.id, attempt))
-      tell_outcome(open, attempt, Status::Moot, nullptr);
+      tell_outcome(open, attempt, Status::NotSent, nullptr);
   }
 }
 
@@ -335,7 +337,7 @@
   if (!open.done()) return;
   p_.timers.cancel(open.expiry);
   for (Timers::Handle& timer : open.asked) p_.timers.cancel(timer);
-  note(Kind::kForgotten, open.id);
+  note(Kind::kReleased, open.id);
   p_.pools.leave(open.module, p_.io.now());
   table_.erase(open);
 }
--- a/src/net/request_core.hpp
+++ b/src/net/request_core.hpp
@@ -6,7 +6,7 @@
 
 #include "client_side.hpp"
 #include "core/flight/ring.hpp"
-#include "core/ops/figures.hpp"
+#include "core/ops/metrics.hpp"
 #include "module_feed.hpp"
 #include "pool_set.hpp"
 #include "request_table.hpp"
@@ -27,17 +27,17 @@
     ClientSide& clients;
     ServerSide& servers;
     core::flight::Recorder& recorder;
-    core::ops::Figures& figures;
-    core::Guard& guard;
+    core::ops::Metrics& figures;
+    core::InvariantChecker& guard;
   };
   RequestCore(const Parts& parts, RequestTable::Bounds bounds);
 
   /// What an operator file makes of requests from now on; those that are open keep theirs.
-  void operate(std::shared_ptr<core::Traffic> traffic) { traffic_ = std::move(traffic); }
+  void operate(std::shared_ptr<core::TrafficPolicy> traffic) { traffic_ = std::move(traffic); }
   /// What new settings say of the table.
   void retune(RequestTable::Bounds bounds) { table_.bound(bounds); }
   /// Tells `account`, which outlives this, what is refused.
-  void keep_account(core::audit::Account& account) { account_ = &account; }
+  void attach_activity_recorder(core::audit::ActivityRecorder& account) { account_ = &account; }
   /// Called where a rule is close to being broken, with what it is about.
   void on_alert(std::function<void(const char* what)> alert) { alert_ = std::move(alert); }
 
@@ -55,7 +55,7 @@
   /// Whether the request has its answer, or is forgotten.
   bool finished(RequestId id);
 
-  void expire(const Timers::Due& due);
+  void expire(const Timers::Task& due);
   /// The last moment before the end: nobody waits for an answer that will never come.
   void fail_all();
 
@@ -71,17 +71,17 @@
   void on_drained(RequestId id) override;
   // ServerSide::Handler
   void on_attempt_end(RequestId id, int attempt, Status status, Answer&& answer) override;
-  void on_attempt_written(RequestId id, int attempt, bool wanted, Micros told_until) override;
+  void on_attempt_written(RequestId id, int attempt, bool wanted, Micros sent_deadline) override;
   bool on_attempt_begin(RequestId id, int attempt, const Answer& head) override;
   bool on_attempt_piece(RequestId id, int attempt, std::string_view piece) override;
 
  private:
-  using Why = core::flight::Why;
+  using Reason = core::flight::Reason;
   RequestId turn_away(RequestId id, Owed&& owed, const Command& command, const Reply& reply,
-                      Why why);
+                      Reason why);
   void count(const std::string& type, Reply::Kind kind);
   void book(OpenRequest& open, Reply::Kind kind);
-  void give(OpenRequest& open, const Reply& reply, Why why);
+  void give(OpenRequest& open, const Reply& reply, Reason why);
   bool within_budget(OpenRequest& open);
   void end_stream(OpenRequest& open, bool whole);
   void tell_outcome(OpenRequest& open, int attempt, Status status, Answer* answer);
@@ -89,15 +89,15 @@
   void withdraw_unsent(OpenRequest& open);
   void forget_if_done(OpenRequest& open);
   void note(core::flight::Kind kind, RequestId id, int attempt = -1, std::uint32_t number = 0,
-            std::int64_t value = 0, std::string_view text = {}, Why why = Why::kNone);
+            std::int64_t value = 0, std::string_view text = {}, Reason why = Reason::kNone);
   void alert(const char* what);
 
   Parts p_;
   RequestTable table_;
   std::size_t unanswered_ = 0;
-  std::shared_ptr<core::Traffic> traffic_;
+  std::shared_ptr<core::TrafficPolicy> traffic_;
   std::function<void(const char*)> alert_;
-  core::audit::Account* account_ = nullptr;
+  core::audit::ActivityRecorder* account_ = nullptr;
 };
 
 }  // namespace violetusher::net
--- a/src/net/request_table.hpp
+++ b/src/net/request_table.hpp
@@ -9,7 +9,7 @@
 #include <vector>
 
 #include "client_side.hpp"
-#include "core/route/traffic.hpp"
+#include "core/route/traffic_policy.hpp"
 #include "timers.hpp"
 
 namespace violetusher::net {
@@ -34,9 +34,9 @@
   // Of an answer that is passed on while it comes: it has been given, and its rest is owed still.
   int streaming = -1;  ///< the attempt that brings it
   Owed rest;
-  std::uint32_t module = 0;                ///< whose it is; see PoolSet
-  std::shared_ptr<core::Traffic> traffic;  ///< none where no operator file is in use
-  core::Traffic::Ticket ticket;
+  std::uint32_t module = 0;                      ///< whose it is; see PoolSet
+  std::shared_ptr<core::TrafficPolicy> traffic;  ///< none where no operator file is in use
+  core::TrafficPolicy::Ticket ticket;
   Timers::Handle expiry = 0;
   std::vector<Timers::Handle> asked;  ///< timers that its module has set for it
 
--- a/src/net/router.cpp
+++ b/src/net/router.cpp
@@ -2,7 +2,7 @@
 
 #include <algorithm>
 
-#include "core/ops/retune.hpp"
+#include "core/ops/settings_update.hpp"
 
 namespace violetusher::net {
 namespace {
@@ -12,7 +12,7 @@
 // Descriptors for the listener, the event base, discovery and the log.
 constexpr std::size_t kReservedSockets = 24;
 // And for operators: their listener, their connections, the file of bans.
-constexpr std::size_t kOperatorSockets = OperatorSide::kMost + 4;
+constexpr std::size_t kOperatorSockets = OperatorListener::kMaxConnections + 4;
 constexpr std::size_t kSpareClients = 50;
 // Memory, as parts of what the router may use: the commands of open requests, and what is buffered
 // for clients. An open request costs kOpenBytes beside its command: its places in the tables here
@@ -50,20 +50,21 @@
 ServerSide::Limits server_limits(const Config& c) {
   ServerSide::Limits l;
   l.connections = server_sockets(c);
-  l.table = core::part_of_table(c.settings.routers, c.links.keepalive);
-  l.streams = c.links.streams;
-  l.dial_timeout = c.links.dial_timeout;
+  l.table = core::connection_share(c.settings.routers, c.connection_settings.keepalive);
+  l.streams = c.connection_settings.streams;
+  l.dial_timeout = c.connection_settings.dial_timeout;
   return l;
 }
 
 RequestTable::Bounds table_bounds(const Config& c) {
   std::size_t bytes = c.memory_bytes / kOpenPart;
-  return {std::min(bytes / kOpenBytes, static_cast<std::size_t>(c.links.max_open)), bytes};
+  return {std::min(bytes / kOpenBytes, static_cast<std::size_t>(c.connection_settings.max_open)),
+          bytes};
 }
 
-core::membership::Terms terms_of(const violetusher::Settings& settings) {
-  return settings.must_ask ? core::membership::terms_asked()
-                           : core::membership::terms_pushed(settings.drain_grace);
+core::membership::WatchTiming terms_of(const violetusher::Settings& settings) {
+  return settings.list_on_demand ? core::membership::polled_timing()
+                                 : core::membership::pushed_timing(settings.drain_grace);
 }
 
 Micros longest_deadline(const Config& c) {
@@ -83,17 +84,18 @@
             table_bounds(config)),
       clients_(io, core_, client_limits(config), &guard_),
       servers_(io, core_, server_limits(config), &config_.settings.report_fields, recorder_),
-      discovery_(io, config.discovery, config.known.version, terms_of(config.settings), config.seed,
-                 *this, log),
+      discovery_(io, config.discovery, config.initial_hosts.version, terms_of(config.settings),
+                 config.seed, *this, log),
       operations_(io, config_, figures_, *this, log),
       alarm_(io.alarm([this] { armed_at_ = 0; })),  // run() rings what is due
       stop_alarm_(io.alarm([this] { stop_step(); })),
       change_over_alarm_(io.alarm([this] { retune(next_settings_); })) {
   for (const auto& c : config_.settings.classes) figures_.add_class(c.name);
-  if (!config.known.fault.empty())
-    log.write(io.now(), Log::Level::kWarn, "known-bad-list", "known: " + config.known.fault);
+  if (!config.initial_hosts.fault.empty())
+    log.write(io.now(), Log::Level::kWarn, "known-bad-list",
+              "known: " + config.initial_hosts.fault);
   guard_.on_violation([this](const core::Violation& v) { tell_violation(v); });
-  servers_.take_list(config_.known);
+  servers_.take_list(config_.initial_hosts);
   discovery_.start();
   operations_.start();
 }
@@ -104,7 +106,7 @@
     error = "no address: '" + config_.listen + "'";
     return false;
   }
-  guard_.start(operations_.bans_known());
+  guard_.on_start(operations_.bans_known());
   if (config_.accept_fd < 0) return clients_.listen(*address, error);
   if (!clients_.adopt(config_.accept_fd, error)) return false;
   // Another process may have served until now: what it was told binds this one at once, and the
@@ -113,43 +115,43 @@
   return true;
 }
 
-void Router::listen_besides(const core::config::Model& model) {
+void Router::update_listeners(const core::config::Model& model) {
   std::map<std::string, std::string> addresses;
   for (const auto& [name, listener] : model.listeners)
     if (name != "main") addresses[name] = listener.address;
   std::string error;
-  if (!stopping_since_ && !clients_.listen_besides(addresses, error)) throw ConfigError(error);
+  if (!stopping_since_ && !clients_.update_listeners(addresses, error)) throw ConfigError(error);
 }
 
-void Router::operate(core::config::Model model) {
+void Router::apply_model(core::config::Model model) {
   // A file without routes leaves requests to the whole list, as no file does.
   bool routes = !model.routes.empty();
   if (!routes && !traffic_) return;
   // What is held of the list may be as old as the start, unless it is the start.
   if (!traffic_ && running_) discovery_.fetch();
-  traffic_ = std::make_shared<core::Traffic>(std::move(model), traffic_.get());
+  traffic_ = std::make_shared<core::TrafficPolicy>(std::move(model), traffic_.get());
   pools_.operate(traffic_);
   core_.operate(routes ? traffic_ : nullptr);
   servers_.take_list(pools_.whole_list());
-  acts_anew();
+  record_serving_change();
 }
 
 void Router::record(core::flight::Ring* ring, std::function<void(const char* what)> alert) {
-  recorder_.use(ring);
+  recorder_.attach(ring);
   core_.on_alert(std::move(alert));
 }
 
-void Router::keep_account(core::audit::Account& account, Micros every) {
+void Router::attach_activity_recorder(core::audit::ActivityRecorder& account, Micros every) {
   account_ = &account;
   account_every_ = every;
-  servers_.keep_account(account);
-  core_.keep_account(account);
+  servers_.attach_activity_recorder(account);
+  core_.attach_activity_recorder(account);
   account_alarm_ = io_.alarm([this] {
     account_->tick(io_.now());
     account_alarm_->set(account_every_);
   });
   account_alarm_->set(account_every_);
-  acts_anew();
+  record_serving_change();
 }
 
 void Router::run() {
@@ -161,11 +163,11 @@
       // Requests go on before answers go back: they have the longer way.
       servers_.flush();
       clients_.flush();
-      io_.renew();
+      io_.update_time();
     } while (!feed_.empty() || servers_.dirty() || clients_.dirty());
     arm();
     io_.run_once();
-    if (each_turn_) each_turn_();
+    if (on_each_iteration_) on_each_iteration_();
   }
   if (account_) account_->tick(io_.now());
 }
@@ -209,7 +211,7 @@
   if (config.operator_listen != config_.operator_listen) differs("operator");
   // What is there now may itself be a change-over; the classes of both are taken until its end.
   try {
-    retune(core::ops::both_bind(config_.settings, config.settings));
+    retune(core::ops::strictest_of(config_.settings, config.settings));
   } catch (const std::invalid_argument& e) {
     log_.write(now, Log::Level::kError, "reload-bad-settings",
                std::string("reload: settings: ") + e.what() + "; the old ones are kept",
@@ -217,8 +219,8 @@
     return false;
   }
   next_settings_ = config.settings;  // not before they are known to be good
-  change_over_alarm_->set(core::ops::kChangeOver);
-  config_.links = config.links;
+  change_over_alarm_->set(core::ops::kSettingsTransition);
+  config_.connection_settings = config.connection_settings;
   servers_.retune(server_limits(config));
   core_.retune(table_bounds(config_));
   config_.paths = config.paths;
@@ -251,8 +253,8 @@
               {"reason", std::string_view(v.what)}});
 }
 
-core::ops::Figures::Now Router::standing() {
-  core::ops::Figures::Now now;
+core::ops::Metrics::Gauges Router::current_figures() {
+  core::ops::Metrics::Gauges now;
   now.guard = &guard_;
   now.concurrent = core_.unanswered();
   now.dispatches = servers_.written();
@@ -272,15 +274,15 @@
   auto next = timers_.next();
   if (!next || (armed_at_ && armed_at_ <= *next)) return;
   armed_at_ = *next;
-  io_.renew();  // what has been written since took its time
+  io_.update_time();  // what has been written since took its time
   alarm_->set(std::max<Micros>(armed_at_ - io_.now(), 0));
 }
 
 void Router::ring() {
   Micros now = io_.now();
-  Timers::Due due;
-  while (timers_.take(now, due)) {
-    if (due.kind == Timers::Due::Kind::kModule)
+  Timers::Task due;
+  while (timers_.pop_due(now, due)) {
+    if (due.kind == Timers::Task::Kind::kModule)
       feed_.push(TimerEvent{due.module, due.token});
     else
       core_.expire(due);
@@ -312,9 +314,9 @@
   if (auto* e = std::get_if<RequestEvent>(&event)) {
     return core_.describe(e->id, request_) ? balancer.on_request(now, request_) : kNoActions;
   }
-  if (auto* e = std::get_if<GoneEvent>(&event)) return balancer.on_gone(now, e->id);
+  if (auto* e = std::get_if<GoneEvent>(&event)) return balancer.on_client_disconnect(now, e->id);
   if (auto* e = std::get_if<FirstEvent>(&event))
-    return balancer.on_first(now, e->id, e->server, e->attempt, e->latency);
+    return balancer.on_response_start(now, e->id, e->server, e->attempt, e->latency);
   if (auto* e = std::get_if<ListEvent>(&event)) return balancer.on_list(now, e->scope, e->servers);
   if (auto* e = std::get_if<TimerEvent>(&event)) return balancer.on_timer(now, e->token);
   return balancer.start(now);
--- a/src/net/router.hpp
+++ b/src/net/router.hpp
@@ -9,10 +9,10 @@
 
 #include "client_side.hpp"
 #include "config.hpp"
-#include "core/audit/account.hpp"
+#include "core/audit/activity_recorder.hpp"
 #include "core/flight/ring.hpp"
-#include "core/guard/guard.hpp"
-#include "core/ops/figures.hpp"
+#include "core/guard/invariants.hpp"
+#include "core/ops/metrics.hpp"
 #include "discovery.hpp"
 #include "io.hpp"
 #include "log.hpp"
@@ -36,7 +36,7 @@
   /// False with the reason in `error`.
   bool listen(std::string& error);
   /// Called once a turn of the loop, which turns many times a second.
-  void each_turn(std::function<void()> call) { each_turn_ = std::move(call); }
+  void on_each_iteration(std::function<void()> call) { on_each_iteration_ = std::move(call); }
   /// Runs until stop() has been carried out.
   void run();
   /// Planned end: see PROTOCOL's figures for restarts.
@@ -45,34 +45,34 @@
   /// differs needs a restart and is logged. False, with the old one kept, where it can't be used.
   bool reload(const Config& config);
   /// A reload has come to its end; for the figures.
-  void note_reload(bool accepted) { figures_.count_reload(accepted); }
+  void record_reload(bool accepted) { figures_.count_reload(accepted); }
   /// Takes over an operator file's model, at the start or while running: what comes from now on
   /// goes by it. Requests that are open finish on the route and in the pool that they began with;
   /// pools that are gone end with their last request.
-  void operate(core::config::Model model);
+  void apply_model(core::config::Model model);
   /// Listens on just those of the file's listeners, besides the configuration's own, which is
   /// `main` there. Throws ConfigError where one can't be had; then nothing has changed.
-  void listen_besides(const core::config::Model& model);
+  void update_listeners(const core::config::Model& model);
   /// Notes what happens to each request in `ring`, which outlives the router, or in none; `alert`
   /// is told where a rule is close to being broken.
   void record(core::flight::Ring* ring, std::function<void(const char* what)> alert);
 
   /// Tells `account`, which outlives the router, what is done and on what; it closes a period each
   /// `every`.
-  void keep_account(core::audit::Account& account, Micros every);
+  void attach_activity_recorder(core::audit::ActivityRecorder& account, Micros every);
   /// Something that requests are served by has changed, besides the list.
-  void acts_anew() {
+  void record_serving_change() {
     if (account_) account_->changed(io_.now());
   }
 
   /// Servers out and back are the fleet's matter from now on; see Operations::use().
-  void use(Operations::Promises& promises) { operations_.use(promises); }
-  void hold_out(const std::set<std::string>& out) { operations_.hold(out); }
+  void use(Operations::FleetBans& promises) { operations_.use_fleet_bans(promises); }
+  void set_bans(const std::set<std::string>& out) { operations_.apply_bans(out); }
 
   const Config& config() const { return config_; }
   /// Of the list of servers in use, as discovery named it.
   const std::string& list_version() const { return operations_.hosts().version(); }
-  const std::set<std::string>& servers_out() const { return operations_.hosts().all_out(); }
+  const std::set<std::string>& banned_servers() const { return operations_.hosts().banned_ids(); }
   std::uint16_t port(const std::string& listener = {}) const { return clients_.port(listener); }
   std::uint16_t operator_port() const { return operations_.port(); }
   /// How old that list may be: since an answer of discovery last showed what it is.
@@ -81,7 +81,7 @@
   std::uint64_t discovery_calls() const { return discovery_.calls(); }
   std::size_t pools() const { return pools_.modules(); }
   std::size_t open_requests() const { return core_.table().size(); }
-  std::size_t most_open_requests() const { return core_.table().most(); }
+  std::size_t max_open_requests() const { return core_.table().most(); }
   std::size_t timers() const { return timers_.size(); }
   std::size_t client_connections() const { return clients_.connections(); }
   std::size_t client_buffered() const { return clients_.buffered(); }
@@ -91,9 +91,9 @@
  private:
   // Discovery::Handler
   void on_hosts(HostList&& list, bool doubted) override {
-    operations_.hosts().heard(io_.now(), list.date);
-    servers_.take_list(pools_.take(operations_.hosts().take(std::move(list), doubted)));
-    acts_anew();
+    operations_.hosts().on_response(io_.now(), list.date);
+    servers_.take_list(pools_.take(operations_.hosts().apply(std::move(list), doubted)));
+    record_serving_change();
   }
   void on_hosts_failed() override { pools_.lists_failed(); }
   // PoolSet::Handler
@@ -104,11 +104,11 @@
   }
 
   // Operations::Handler
-  void on_out_or_back(HostList&& change) override {
+  void on_ban_change(HostList&& change) override {
     servers_.take_list(pools_.take(std::move(change)));
-    acts_anew();
+    record_serving_change();
   }
-  core::ops::Figures::Now standing() override;
+  core::ops::Metrics::Gauges current_figures() override;
 
   void retune(const violetusher::Settings& settings);
   void ring();
@@ -124,8 +124,8 @@
   Config config_;
   Log& log_;
   core::flight::Recorder recorder_;
-  core::ops::Figures figures_;
-  core::Guard guard_;
+  core::ops::Metrics figures_;
+  core::InvariantChecker guard_;
   Timers timers_;
   ModuleFeed feed_;
   PoolSet pools_;
@@ -134,15 +134,15 @@
   ServerSide servers_;
   Discovery discovery_;
   Operations operations_;
-  std::shared_ptr<core::Traffic> traffic_;
-  core::audit::Account* account_ = nullptr;
+  std::shared_ptr<core::TrafficPolicy> traffic_;
+  core::audit::ActivityRecorder* account_ = nullptr;
   Micros account_every_ = 0;
   std::unique_ptr<Alarm> alarm_, stop_alarm_, change_over_alarm_, account_alarm_;
   violetusher::Request request_;         // the one that a module is told of
   violetusher::Settings next_settings_;  // from the end of the change-over
   Micros armed_at_ = 0;                  // 0: not set
   Micros stopping_since_ = 0;
-  std::function<void()> each_turn_;
+  std::function<void()> on_each_iteration_;
   bool running_ = false, done_ = false;
 };
 
--- a/src/net/server_connection.cpp
+++ b/src/net/server_connection.cpp
@@ -5,7 +5,7 @@
 namespace violetusher::net {
 
 using core::flight::Kind;
-using core::flight::Why;
+using core::flight::Reason;
 
 namespace {
 
@@ -36,7 +36,7 @@
 Status status_of(const Answer& answer) {
   switch (answer.kind) {
     case Answer::Kind::Busy:
-      return Status::Full;
+      return Status::Overloaded;
     case Answer::Kind::Error:
       return Status::Error;
     case Answer::Kind::Miss:
@@ -90,21 +90,21 @@
 
 void ServerConnection::dial_again() {
   bool over = side_.io_.now() >= put_off_until_;
-  CallResult result = over ? CallResult::kNoResources : dial();
-  if (over || result == CallResult::kBroken) side_.failed_dial(*this, result);
+  CallResult result = over ? CallResult::kTransientError : dial();
+  if (over || result == CallResult::kPermanentError) side_.failed_dial(*this, result);
 }
 
 void ServerConnection::connected(unsigned what) {
   CallResult result =
-      what & Watch::kLimit ? CallResult::kBroken : side_.io_.connected(socket_.number());
+      what & Watch::kTimeout ? CallResult::kPermanentError : side_.io_.connected(socket_.number());
   Micros now = side_.io_.now();
-  if (result == CallResult::kNoResources && now < dial_until_) {
+  if (result == CallResult::kTransientError && now < dial_until_) {
     watch_->write_once(dial_until_ - now);
     return;
   }
   bool up = result == CallResult::kDone;
-  side_.recorder_.note(now, Kind::kDialEnd, 0, -1, number_, 0, pool_.id,
-                       up ? Why::kNone : Why::kDial);
+  side_.recorder_.record(now, Kind::kDialEnd, 0, -1, number_, 0, pool_.id,
+                         up ? Reason::kNone : Reason::kDial);
   if (!up) {
     side_.failed_dial(*this, result);
     return;
@@ -169,7 +169,7 @@
       ++sent_;
       ++side_.written_;
       if (side_.recorder_.on())
-        side_.recorder_.note(side_.io_.now(), Kind::kWritten, e.id, e.attempt, number_);
+        side_.recorder_.record(side_.io_.now(), Kind::kWritten, e.id, e.attempt, number_);
     }
   }
 }
@@ -218,7 +218,7 @@
     }
     kept_ = true;
     long_ = false;
-    bool last = answer.last;
+    bool last = answer.close_after;
     const Entry& done = entries_.front();
     RequestId id = done.id;
     int attempt = done.attempt;
@@ -299,8 +299,8 @@
 }
 
 void ServerConnection::take_over(Entry&& entry) {
-  side_.recorder_.note(side_.io_.now(), Kind::kMoved, entry.id, entry.attempt, number_,
-                       static_cast<std::int64_t>(entries_.size()), pool_.id);
+  side_.recorder_.record(side_.io_.now(), Kind::kMoved, entry.id, entry.attempt, number_,
+                         static_cast<std::int64_t>(entries_.size()), pool_.id);
   entries_.push() = std::move(entry);
   side_.touch(*this);
 }
--- a/src/net/server_connection.hpp
+++ b/src/net/server_connection.hpp
@@ -2,7 +2,7 @@
 // ServerSide, which owns all of them, uses it.
 #pragma once
 
-#include "core/connections/keep.hpp"
+#include "core/connections/idle_budget.hpp"
 #include "recycled_queue.hpp"
 #include "server_side.hpp"
 
@@ -17,7 +17,7 @@
   bool wanted = false;  // listed and ready
   Micros born = 0;
   Micros no_dial_until = 0;
-  core::KeepAccount keep;
+  core::IdleBudget keep;
   std::vector<std::unique_ptr<ServerConnection>> connections;
 };
 
--- a/src/net/server_side.cpp
+++ b/src/net/server_side.cpp
@@ -7,7 +7,7 @@
 namespace violetusher::net {
 
 using core::flight::Kind;
-using core::flight::Why;
+using core::flight::Reason;
 
 namespace {
 
@@ -46,7 +46,7 @@
   if (list.whole)
     for (auto& [id, pool] : pools_) pool->listed = pool->wanted = false;
   for (const Host& host : list.hosts) {
-    bool gone = host.server.health == violetusher::Health::Gone;
+    bool gone = host.server.health == violetusher::Health::Removed;
     auto at = pools_.find(host.server.id);
     if (at == pools_.end()) {
       if (gone) continue;
@@ -76,22 +76,22 @@
     }
   }
   if (account_)
-    for (auto& [id, pool] : pools_) account_->serves(id, pool->wanted);
+    for (auto& [id, pool] : pools_) account_->set_serving(id, pool->wanted);
   sweep();
 }
 
-void ServerSide::keep_account(core::audit::Account& account) {
+void ServerSide::attach_activity_recorder(core::audit::ActivityRecorder& account) {
   account_ = &account;
-  for (auto& [id, pool] : pools_) account_->serves(id, pool->wanted);
+  for (auto& [id, pool] : pools_) account_->set_serving(id, pool->wanted);
 }
 
 ServerConnection* ServerSide::dial(ServerPool& pool) {
   if (!pool.address) return nullptr;
   auto fresh = std::make_unique<ServerConnection>(*this, pool, next_connection_);
   CallResult result = fresh->dial();
-  if (result == CallResult::kBroken) return nullptr;
+  if (result == CallResult::kPermanentError) return nullptr;
   dials_put_off_ |= result != CallResult::kDone;
-  recorder_.note(io_.now(), Kind::kDial, 0, -1, next_connection_++, 0, pool.id);
+  recorder_.record(io_.now(), Kind::kDial, 0, -1, next_connection_++, 0, pool.id);
   pool.connections.push_back(std::move(fresh));
   ++total_;
   return pool.connections.back().get();
@@ -140,7 +140,7 @@
 }
 
 bool ServerSide::make_room(ServerPool& pool) {
-  if (pool.connections.size() >= limits_.table.most) {
+  if (pool.connections.size() >= limits_.table.max_open) {
     // One that only waits for answers nobody wants makes room.
     auto at = std::find_if(pool.connections.begin(), pool.connections.end(),
                            [](const auto& c) { return c->forsaken(); });
@@ -167,14 +167,14 @@
   ServerConnection* c = wanted ? pick(*at->second) : nullptr;
   if (!c) {
     auto have = at == pools_.end() ? 0 : at->second->connections.size();
-    recorder_.note(io_.now(), Kind::kNoLink, id, attempt, 0, static_cast<std::int64_t>(have),
-                   server);
+    recorder_.record(io_.now(), Kind::kNoConnection, id, attempt, 0,
+                     static_cast<std::int64_t>(have), server);
     handler_.on_attempt_end(id, attempt, Status::ConnectFailed, Answer());
     return;
   }
   auto before = static_cast<std::int64_t>(c->entries_.size());
   c->queue(id, attempt, command, given_up, until);
-  recorder_.note(c->used_at_, Kind::kSent, id, attempt, c->number_, before, server);
+  recorder_.record(c->used_at_, Kind::kSent, id, attempt, c->number_, before, server);
 }
 
 std::pair<ServerConnection*, std::size_t> ServerSide::find(const std::string& server, RequestId id,
@@ -203,7 +203,7 @@
 }
 
 Status ServerSide::cancel(const std::string& server, RequestId id, int attempt) {
-  if (withdraw(server, id, attempt)) return Status::Moot;
+  if (withdraw(server, id, attempt)) return Status::NotSent;
   auto [c, place] = find(server, id, attempt);
   if (!c) return Status::Cancelled;
   ServerConnection::Entry& e = c->entries_[place];
@@ -212,7 +212,7 @@
   if (place == c->sent_) {
     // Partly written: finishing it would send the request after its end.
     close(*c);
-    return Status::Moot;
+    return Status::NotSent;
   }
   // Only an end of the connection tells the server that nobody waits any more, so that it may drop
   // what it has not begun. Where many clients leave early, what they left behind filled the
@@ -246,7 +246,7 @@
   if (c.closed_) return;
   c.closed_ = true;
   bool stale = c.kept_ && c.ended_by_peer_ && !c.reader_.in_answer();
-  Status broken = stale ? Status::Stale : Status::Reset;
+  Status broken = stale ? Status::StaleConnection : Status::Reset;
   for (std::size_t k = 0; k < c.entries_.size(); ++k) {
     ServerConnection::Entry& e = c.entries_[k];
     if (e.live)
@@ -269,7 +269,7 @@
 /// A full connection table refuses new connections while those that are open work: what waited for
 /// the dial goes behind others then. Where there are none, the server can't be reached.
 void ServerSide::failed_dial(ServerConnection& c, CallResult why) {
-  bool refused = why != CallResult::kNoResources;
+  bool refused = why != CallResult::kTransientError;
   if (refused) {
     c.pool_.no_dial_until = io_.now() + kDialPause;
     c.pool_.keep.on_refused();
@@ -282,7 +282,7 @@
     ServerConnection::Entry& e = waiting.front();
     ServerConnection* other = least_loaded(pool, Dialling::kLeftOut);
     if (!other) {
-      handler_.on_attempt_end(e.id, e.attempt, refused ? Status::ConnectFailed : Status::Moot,
+      handler_.on_attempt_end(e.id, e.attempt, refused ? Status::ConnectFailed : Status::NotSent,
                               Answer());
       continue;
     }
@@ -330,11 +330,11 @@
         if (!c.socket_)
           c.dial_again();
         else if (now > c.dial_until_ + kUnarmedDial)
-          failed_dial(c, CallResult::kNoResources);
+          failed_dial(c, CallResult::kTransientError);
         continue;
       }
       if (c.entries_.empty()) {
-        if (c.retiring_ || now - c.used_at_ > limits_.table.longest_idle) close(c);
+        if (c.retiring_ || now - c.used_at_ > limits_.table.max_idle_time) close(c);
         continue;
       }
       // What a full socket buffer has kept back this long was never sent, and must not go out when
--- a/src/net/server_side.hpp
+++ b/src/net/server_side.hpp
@@ -9,8 +9,8 @@
 #include <vector>
 
 #include "config.hpp"
-#include "core/audit/account.hpp"
-#include "core/connections/keep.hpp"
+#include "core/audit/activity_recorder.hpp"
+#include "core/connections/idle_budget.hpp"
 #include "core/flight/ring.hpp"
 #include "io.hpp"
 #include "protocol/meta.hpp"
@@ -38,17 +38,18 @@
     /// each attempt, unless it was cancelled.
     virtual void on_attempt_end(RequestId id, int attempt, Status status, Answer&& answer) = 0;
     /// The attempt's first byte has been written. `wanted`: its server takes anything new;
-    /// `told_until`: what the server was told of the time that is left ends then.
-    virtual void on_attempt_written(RequestId id, int attempt, bool wanted, Micros told_until) = 0;
+    /// `sent_deadline`: what the server was told of the time that is left ends then.
+    virtual void on_attempt_written(RequestId id, int attempt, bool wanted,
+                                    Micros sent_deadline) = 0;
     /// The head of a long value has come. False where nobody wants the rest.
     virtual bool on_attempt_begin(RequestId id, int attempt, const Answer& head) = 0;
     /// More of the value. False where no more is to come until resume().
     virtual bool on_attempt_piece(RequestId id, int attempt, std::string_view piece) = 0;
   };
   struct Limits {
-    std::size_t connections = 300;                                 ///< to all servers
-    core::TablePart table = core::part_of_table(1, 15 * kSecond);  ///< of each server
-    int streams = 32;                                              ///< attempts on one connection
+    std::size_t connections = 300;                                          ///< to all servers
+    core::ConnectionShare table = core::connection_share(1, 15 * kSecond);  ///< of each server
+    int streams = 32;  ///< attempts on one connection
     Micros dial_timeout = 75 * kMillisecond;
   };
 
@@ -86,7 +87,7 @@
     limits_.connections = connections;
   }
   /// Tells `account`, which outlives this, what is sent and who gets anything new.
-  void keep_account(core::audit::Account& account);
+  void attach_activity_recorder(core::audit::ActivityRecorder& account);
   /// Servers of which anything is kept.
   std::size_t pools() const { return pools_.size(); }
 
@@ -110,7 +111,8 @@
   void touch(ServerConnection& connection);
   /// Ends the connection; every attempt on it gets its outcome.
   void close(ServerConnection& connection);
-  /// `why`: kNoResources where this machine could not dial, which is not held against the server.
+  /// `why`: kTransientError where this machine could not dial, which is not held against the
+  /// server.
   void failed_dial(ServerConnection& connection, CallResult why);
 
   Io& io_;
@@ -118,7 +120,7 @@
   Limits limits_;
   const std::vector<violetusher::ReportField>* fields_;
   core::flight::Recorder& recorder_;
-  core::audit::Account* account_ = nullptr;
+  core::audit::ActivityRecorder* account_ = nullptr;
   std::unique_ptr<Alarm> sweep_alarm_;
   std::unordered_map<std::string, std::unique_ptr<ServerPool>> pools_;
   std::size_t total_ = 0;
--- a/src/net/system_io.cpp
+++ b/src/net/system_io.cpp
@@ -70,10 +70,10 @@
   }
   static void on_event(evutil_socket_t, short what, void* self) {
     unsigned ready = (what & (EV_READ | EV_CLOSED) ? kReadable : 0u) |
-                     (what & EV_WRITE ? kWritable : 0u) | (what & EV_TIMEOUT ? kLimit : 0u) |
+                     (what & EV_WRITE ? kWritable : 0u) | (what & EV_TIMEOUT ? kTimeout : 0u) |
                      (what & EV_CLOSED ? kPeerEnded : 0u);
     auto* watch = static_cast<SystemWatch*>(self);
-    watch->io_.renew();
+    watch->io_.update_time();
     watch->target_.on_ready(ready);
   }
 
@@ -86,8 +86,8 @@
 
 class SystemAlarm final : public Alarm {
  public:
-  SystemAlarm(Io& io, event_base* base, std::function<void()> rings)
-      : io_(io), rings_(std::move(rings)) {
+  SystemAlarm(Io& io, event_base* base, std::function<void()> on_expiry)
+      : io_(io), rings_(std::move(on_expiry)) {
     event_.reset(event_new(base, -1, 0, on_event, this));
   }
   void set(Micros after) override {
@@ -99,7 +99,7 @@
  private:
   static void on_event(evutil_socket_t, short, void* self) {
     auto* alarm = static_cast<SystemAlarm*>(self);
-    alarm->io_.renew();
+    alarm->io_.update_time();
     alarm->rings_();
   }
 
@@ -192,7 +192,7 @@
   /// Outside of evhttp's own call, so that the connection can go.
   static void on_ready(evutil_socket_t, short, void* self) {
     auto* call = static_cast<SystemHttpGet*>(self);
-    call->io_.renew();
+    call->io_.update_time();
     call->end();
   }
 
@@ -223,7 +223,7 @@
 
 /// For recv() and send(): what is out of memory for now is tried again, as what would block.
 ssize_t again_or_broken() {
-  return connection_result_of(errno) == CallResult::kBroken ? Io::kBroken : Io::kAgain;
+  return connection_result_of(errno) == CallResult::kPermanentError ? Io::kBroken : Io::kAgain;
 }
 
 void no_delay(int socket) {
@@ -274,7 +274,8 @@
     }
     if (concerns_one_connection(errno)) continue;
     if (errno == EMFILE) return Accepted::kNoDescriptor;
-    return result_of(errno) == CallResult::kWouldBlock ? Accepted::kNone : Accepted::kLater;
+    return result_of(errno) == CallResult::kWouldBlock ? Accepted::kNone
+                                                       : Accepted::kTransientError;
   }
 }
 
@@ -293,8 +294,8 @@
   int error = 0;
   socklen_t size = sizeof error;
   if (::getsockopt(socket, SOL_SOCKET, SO_ERROR, &error, &size) != 0)
-    return CallResult::kNoResources;
-  return error == 0 ? CallResult::kDone : CallResult::kBroken;
+    return CallResult::kTransientError;
+  return error == 0 ? CallResult::kDone : CallResult::kPermanentError;
 }
 
 ssize_t SystemIo::recv(int socket, char* to, std::size_t size) {
@@ -323,7 +324,7 @@
   return ready > 0 && (one.revents & (POLLRDHUP | POLLHUP | POLLERR));
 }
 
-void SystemIo::shut_sending(int socket) { ::shutdown(socket, SHUT_WR); }
+void SystemIo::shutdown_send(int socket) { ::shutdown(socket, SHUT_WR); }
 
 void SystemIo::close(int socket) { ::close(socket); }
 
@@ -331,8 +332,8 @@
   return std::make_unique<SystemWatch>(*this, base_, socket, target);
 }
 
-std::unique_ptr<Alarm> SystemIo::alarm(std::function<void()> rings) {
-  return std::make_unique<SystemAlarm>(*this, base_, std::move(rings));
+std::unique_ptr<Alarm> SystemIo::alarm(std::function<void()> on_expiry) {
+  return std::make_unique<SystemAlarm>(*this, base_, std::move(on_expiry));
 }
 
 std::unique_ptr<HttpGet> SystemIo::http(HttpGet::Done done) {
@@ -341,7 +342,7 @@
 
 void SystemIo::run_once() {
   event_base_loop(base_, EVLOOP_ONCE);
-  renew();
+  update_time();
 }
 
 }  // namespace violetusher::net
--- a/src/net/system_io.hpp
+++ b/src/net/system_io.hpp
@@ -75,7 +75,7 @@
   explicit SystemIo(event_base* base) : base_(base), now_(clock_.now()) {}
 
   Micros now() const override { return now_; }
-  void renew() override { now_ = clock_.now(); }
+  void update_time() override { now_ = clock_.now(); }
   Socket listen(const sockaddr_in& address, std::string& error) override;
   Socket adopt(int descriptor, std::string& error) override;
   std::uint16_t port(int listener) const override;
@@ -86,10 +86,10 @@
   ssize_t send(int socket, const iovec* parts, std::size_t count) override;
   bool may_have_input(int socket) override;
   bool peer_ended(int socket) override;
-  void shut_sending(int socket) override;
+  void shutdown_send(int socket) override;
   void close(int socket) override;
   std::unique_ptr<Watch> watch(int socket, Watch::Target& target) override;
-  std::unique_ptr<Alarm> alarm(std::function<void()> rings) override;
+  std::unique_ptr<Alarm> alarm(std::function<void()> on_expiry) override;
   std::unique_ptr<HttpGet> http(HttpGet::Done done) override;
   void run_once() override;
 
--- a/src/net/timers.cpp
+++ b/src/net/timers.cpp
@@ -52,7 +52,7 @@
     sink(place, last);
 }
 
-Timers::Handle Timers::set(Micros at, const Due& due) {
+Timers::Handle Timers::set(Micros at, const Task& due) {
   if (free_.empty()) {
     free_.push_back(static_cast<std::uint32_t>(nodes_.size()));
     nodes_.emplace_back();
@@ -77,7 +77,7 @@
   return heap_.front().at;
 }
 
-bool Timers::take(Micros now, Due& due) {
+bool Timers::pop_due(Micros now, Task& due) {
   if (heap_.empty() || heap_.front().at > now) return false;
   due = nodes_[heap_.front().node].due;
   remove(0);
--- a/src/net/timers.hpp
+++ b/src/net/timers.hpp
@@ -16,7 +16,7 @@
 class Timers {
  public:
   /// What a timer is for.
-  struct Due {
+  struct Task {
     enum class Kind : std::uint8_t {
       kModule,   ///< the decision module's
       kAttempt,  ///< an attempt's patience is over
@@ -31,13 +31,13 @@
   /// Names a timer that was set; 0 names none.
   using Handle = std::uint64_t;
 
-  Handle set(Micros at, const Due& due);
+  Handle set(Micros at, const Task& due);
   /// Takes the timer out and sets `handle` to 0. One that has rung, or none, is let be.
   void cancel(Handle& handle);
   /// When the first one is due.
   std::optional<Micros> next() const;
   /// Takes out the first one that is due at `now`; false where there is none.
-  bool take(Micros now, Due& due);
+  bool pop_due(Micros now, Task& due);
   std::size_t size() const { return heap_.size(); }
 
  private:
@@ -48,7 +48,7 @@
     bool before(const Item& o) const { return at != o.at ? at < o.at : order < o.order; }
   };
   struct Node {
-    Due due;
+    Task due;
     std::uint32_t place = 0;       // in heap_, where it is set
     std::uint32_t generation = 0;  // odd while set
   };
--- a/src/policy/rules.cpp
+++ b/src/policy/rules.cpp
@@ -9,7 +9,7 @@
 #include <unordered_map>
 
 #include "violetusher/balancer.hpp"
-#include "violetusher/recycled.hpp"
+#include "violetusher/recycled_map.hpp"
 
 namespace violetusher {
 namespace {
@@ -66,8 +66,8 @@
 constexpr double kCoolSpan = 2;     // seconds one report may stand for
 // Cold servers get this multiple of their fair, cold-weighted share at most.
 constexpr double kColdBudget = 1.3;
-// What a cold server's budget saves up, as part of tip_after: with all of it, a hot key that came
-// after a quiet spell spent twice the budget at once.
+// What a cold server's budget saves up, as part of overload_window: with all of it, a hot key that
+// came after a quiet spell spent twice the budget at once.
 constexpr double kColdBurst = 0.4;
 // And this part of what would push one over had warm servers been at the edge of their capacity.
 constexpr double kColdBorne = 0.5;
@@ -101,9 +101,10 @@
 constexpr double kAdmitMin = 0.03;
 constexpr double kShedLeast = 0.4;  // the most and least worthy are refused at these multiples
 constexpr double kShedMost = 1.4;
-// List: how long after the start the first call may come, as part of ask_within, so that routers
-// started together do not call together; and the mean pause after failed calls. It does not double:
-// 6 s after discovery is back all that it has counts as told, and a second try may have to fit in.
+// List: how long after the start the first call may come, as part of list_refresh_interval, so that
+// routers started together do not call together; and the mean pause after failed calls. It does not
+// double: 6 s after discovery is back all that it has counts as told, and a second try may have to
+// fit in.
 constexpr double kAskSpread = 0.4;
 constexpr double kAskPause = kSecond;
 
@@ -210,7 +211,7 @@
   std::map<std::string, int> index;   // by id, so that walks over it are in id order
   std::vector<int> spare;             // places in `servers` of those that have left
   std::vector<int> slots = std::vector<int>(kSlots, -1);
-  Recycled<Open> open;
+  RecycledMap<Open> open;
   struct Saved {
     std::uint64_t seed = 0;  // of the last landing
     int drawn = 0;           // landings since the walk began at the name
@@ -218,7 +219,7 @@
     double count = 0;        // own requests lately, fading with own traffic
     double at = 0;           // value of `sent` then
   };
-  Recycled<Saved> saved;       // by name hash
+  RecycledMap<Saved> saved;    // by name hash
   double sent = 0, swept = 0;  // own requests; and when stale seeds were dropped
   struct Seen {
     int times = 0;
@@ -271,7 +272,7 @@
 
   // ---- segments ----
   bool is_origin(const ServerState& s) const {
-    return set.aside && !set.origin_kind.empty() && s.listed.kind == set.origin_kind;
+    return set.cache_aside && !set.origin_kind.empty() && s.listed.kind == set.origin_kind;
   }
 
   void carve() {
@@ -297,14 +298,14 @@
   bool usable(const ServerState& s) const { return s.present && s.listed.health == Health::Ready; }
 
   bool cold(const ServerState& s) const {
-    return s.listed.up_since > 0 && now - s.listed.up_since < set.cold_time;
+    return s.listed.up_since > 0 && now - s.listed.up_since < set.slow_start_window;
   }
 
   double warmth(const ServerState& s) const {
     if (!cold(s)) return 1;
     double age = static_cast<double>(std::max<Micros>(0, now - s.listed.up_since)) /
-                 static_cast<double>(set.cold_time);
-    return set.cold_share + (1 - set.cold_share) * age;
+                 static_cast<double>(set.slow_start_window);
+    return set.slow_start_min_fraction + (1 - set.slow_start_min_fraction) * age;
   }
 
   /// The part of its slots that a server is live over. Death, slow start, a slow machine and
@@ -451,7 +452,8 @@
   bool cold_has_room(ServerState& s, double cost) {
     if (!cold(s)) return true;
     double rate = cold_rate(s);
-    double cap = std::max(1.0, kColdBurst * rate * static_cast<double>(set.tip_after) / kSecond);
+    double cap =
+        std::max(1.0, kColdBurst * rate * static_cast<double>(set.overload_window) / kSecond);
     s.cold_tokens += rate * static_cast<double>(now - s.cold_at) / kSecond;
     s.cold_tokens = std::min(s.cold_tokens, cap);
     s.cold_at = now;
@@ -763,7 +765,7 @@
     Micros until = Send::kAnyTime;
     for (const Attempt& a : o.attempts)
       if (o.cls->rules.effect == Effect::Keyed && a.ran != Ran::Never)
-        until = std::min(until, a.sent + o.cls->rules.key_ttl - 2 * set.tick);
+        until = std::min(until, a.sent + o.cls->rules.key_ttl - 2 * set.timer_granularity);
     return until;
   }
 
@@ -771,7 +773,7 @@
   bool may_send(const Open& o, int server) const {
     const ServerState& to = servers[server];
     if (!usable(to) || static_cast<int>(o.attempts.size()) >= set.max_attempts) return false;
-    if (!set.second_copies && any_out(o)) return false;
+    if (!set.may_hedge && any_out(o)) return false;
     const ClassSettings& c = o.cls->rules;
     if (c.effect == Effect::Repeatable) return true;
     if (now >= repeatable_until(o)) return false;
@@ -823,9 +825,9 @@
 
   Micros patience(const Open& o) const {
     const ClassState& c = *o.cls;
-    double usual = c.seen > 0 ? c.quantile : static_cast<double>(c.rules.aim) / 2;
+    double usual = c.seen > 0 ? c.quantile : static_cast<double>(c.rules.latency_objective) / 2;
     return static_cast<Micros>(
-        std::max(kPatienceFactor * usual, 4.0 * static_cast<double>(set.tick)));
+        std::max(kPatienceFactor * usual, 4.0 * static_cast<double>(set.timer_granularity)));
   }
 
   /// Whether an attempt that is out when the client's time ends is a stall: out for longer than
@@ -833,13 +835,13 @@
   /// where servers are met often: there an overload looks like many stalls.
   bool stalled(const Open& o, const Attempt& a) const {
     auto wait = static_cast<double>(patience(o));
-    double usual = std::max(o.cls->quantile, 4.0 * static_cast<double>(set.tick));
+    double usual = std::max(o.cls->quantile, 4.0 * static_cast<double>(set.timer_granularity));
     return static_cast<double>(now - a.sent) > (seldom() ? std::min(wait, usual) : wait);
   }
 
   /// Aside mode: writes, and reads that a cache answered with a miss, go to the origin.
   bool wants_origin(const Open& o) const {
-    return set.aside && !set.origin_kind.empty() && (o.request.write || o.missed);
+    return set.cache_aside && !set.origin_kind.empty() && (o.request.write || o.missed);
   }
 
   /// The origin is never carved: its usable member with the fewest own attempts out.
@@ -893,7 +895,7 @@
                  o.cls->rules.effect != Effect::Once && !o.cls->rules.streamed;
     Micros limit = 0;
     if (again && wait * 3 / 2 < left && !is_origin(s)) {  // never a second copy at the origin
-      if (set.second_copies)
+      if (set.may_hedge)
         timer(wait, o.request.id, kCopyTimer);
       else
         limit = wait;
@@ -909,22 +911,22 @@
   bool is_fault(Status why, const ServerState& s) const {
     if (why == Status::Error) return stands_out(s, kErrors);
     if (why == Status::Timeout) return stands_out(s, kStalls);
-    return why == Status::Reset || why == Status::Stale;
+    return why == Status::Reset || why == Status::StaleConnection;
   }
 
   void go_on(Open& o, Status why) {
     if (o.closed || any_out(o)) return;
     const ServerState& last = servers[o.attempts.back().server];
     bool fault = is_fault(why, last);
-    bool never_left = why == Status::ConnectFailed || why == Status::Moot;
-    bool cheap = why == Status::Full || never_left;
+    bool never_left = why == Status::ConnectFailed || why == Status::NotSent;
+    bool cheap = why == Status::Overloaded || never_left;
     // The first break of a kept connection is tried again whatever the budget holds, as it tells
     // nothing of the load. This should cover time-outs of idle connections on the way and restarts
     // behind a balancer; it hurts where servers that are overloaded break connections, so not once
     // more than a few do.
-    bool stale = why == Status::Stale && o.attempts.size() == 1 && broken < kUsualBreaks;
+    bool stale = why == Status::StaleConnection && o.attempts.size() == 1 && broken < kUsualBreaks;
     double price = stale ? 0 : cheap ? 0.25 : fault ? 0.5 : 1;
-    bool time_left = o.deadline - now > 2 * set.tick;
+    bool time_left = o.deadline - now > 2 * set.timer_granularity;
     if (why == Status::Miss && time_left && send(o)) return;  // no failure: no tokens
     // A fetch that failed ends in an error, and another server would only ask the origin once more:
     // what jams it. Errors are worth a retry where they come from one server and not from others.
@@ -946,7 +948,7 @@
   void list_failed() {
     watching = asking = false;
     double pause = kAskPause * (0.5 + random());
-    ask(static_cast<Micros>(std::min(pause, 0.8 * static_cast<double>(set.ask_within))));
+    ask(static_cast<Micros>(std::min(pause, 0.8 * static_cast<double>(set.list_refresh_interval))));
   }
 
   void take_entry(const Server& e) {
@@ -961,9 +963,9 @@
     Server was = std::move(s.listed);
     s.listed = e;
     if (!std::isfinite(e.weight) || e.weight < 0) s.listed.weight = 1;
-    if (e.health == Health::Gone && e.zone.empty())
+    if (e.health == Health::Removed && e.zone.empty())
       s.listed.zone = was.zone, s.listed.cell = was.cell;
-    s.present = e.health != Health::Gone;
+    s.present = e.health != Health::Removed;
     s.zone = &zones[zones.count(s.listed.zone) ? s.listed.zone : ""];
     if (restarted && s.present) {  // a new process: what was held against the old one is void
       s.doubt = 0, s.strikes = 0, s.dead_until = 0, s.returned_at = 0;
@@ -994,7 +996,7 @@
     auto amount = [](double v) { return std::isfinite(v) && v >= 0; };
     require(!set.classes.empty(), "classes");
     for (const ClassSettings& c : set.classes) {
-      require(c.aim >= 0, "classes.aim");
+      require(c.latency_objective >= 0, "classes.aim");
       require(c.deadline >= 0, "classes.deadline");
       require(c.key_ttl >= 0, "classes.key_ttl");
       require(amount(c.worth), "classes.worth");
@@ -1006,14 +1008,14 @@
     }
     require(set.routers >= 1, "routers");
     require(set.max_attempts >= 1, "max_attempts");
-    require(set.tick >= 0, "tick");
+    require(set.timer_granularity >= 0, "tick");
     require(set.answer_slack >= 0, "answer_slack");
-    require(set.ask_within >= 0, "ask_within");
+    require(set.list_refresh_interval >= 0, "ask_within");
     require(set.drain_grace >= 0, "drain_grace");
     require(set.max_retry_after >= 0, "max_retry_after");
-    require(set.cold_time >= 0, "cold_time");
-    require(set.tip_after >= 0, "tip_after");
-    require(part(set.cold_share), "cold_share");
+    require(set.slow_start_window >= 0, "cold_time");
+    require(set.overload_window >= 0, "tip_after");
+    require(part(set.slow_start_min_fraction), "cold_share");
     require(amount(set.overload_factor), "overload_factor");
     require(amount(set.cross_zone_charge), "cross_zone_charge");
   }
@@ -1056,7 +1058,7 @@
   m.rng = mix(seed);
   m.now = m.born = m.rate_at = m.shed_at = m.generation_at = now;
 }
-void Balancer::retune(const Settings& settings) {
+void Balancer::update_settings(const Settings& settings) {
   Settings old = impl_->set;
   try {
     impl_->use(settings);
@@ -1072,8 +1074,9 @@
 const Actions& Balancer::start(Micros now) {
   Impl& m = *impl_;
   m.tick(now);
-  if (m.set.must_ask)
-    m.ask(static_cast<Micros>(m.random() * kAskSpread * static_cast<double>(m.set.ask_within)));
+  if (m.set.list_on_demand)
+    m.ask(static_cast<Micros>(m.random() * kAskSpread *
+                              static_cast<double>(m.set.list_refresh_interval)));
   return m.out;
 }
 
@@ -1089,7 +1092,8 @@
     std::map<std::string, bool> named;
     for (const Server& e : entries) named[e.id] = true;
     for (auto& [id, i] : m.index)
-      if (!named.count(id)) m.servers[i].present = false, m.servers[i].listed.health = Health::Gone;
+      if (!named.count(id))
+        m.servers[i].present = false, m.servers[i].listed.health = Health::Removed;
   }
   for (const Server& e : entries) m.take_entry(e);
   m.forget_gone();
@@ -1118,12 +1122,12 @@
     return m.out;
   }
   // The last moment for an answer of our own, a little ahead of the client's.
-  m.timer(request.remaining - 2 * m.set.tick, request.id, kDeadlineTimer);
+  m.timer(request.remaining - 2 * m.set.timer_granularity, request.id, kDeadlineTimer);
   return m.out;
 }
 
-const Actions& Balancer::on_first(Micros now, RequestId id, const std::string& server, int attempt,
-                                  Micros) {
+const Actions& Balancer::on_response_start(Micros now, RequestId id, const std::string& server,
+                                           int attempt, Micros) {
   Impl& m = *impl_;
   m.tick(now);
   auto it = m.open.find(id);
@@ -1132,7 +1136,7 @@
   Impl::Open& o = it->second;
   m.note_success(m.servers[at->second]);
   // The stream belongs to the client from here: no deadline, no further attempts.
-  if (!o.closed) m.note_end(o, true, m.now - o.came <= o.cls->rules.aim);
+  if (!o.closed) m.note_end(o, true, m.now - o.came <= o.cls->rules.latency_objective);
   o.closed = true;
   m.cancel_rest(o, attempt);
   return m.out;
@@ -1149,16 +1153,16 @@
   if (a.ran != Impl::Ran::Out) return m.out;
   Impl::ServerState& s = m.servers[a.server];
   --s.in_flight, --m.total_in_flight;
-  bool never = r.status == Status::Full || r.status == Status::ConnectFailed ||
-               r.status == Status::Moot || r.status == Status::Miss;
+  bool never = r.status == Status::Overloaded || r.status == Status::ConnectFailed ||
+               r.status == Status::NotSent || r.status == Status::Miss;
   a.ran = never ? Impl::Ran::Never : Impl::Ran::Maybe;
   bool unreachable = r.status == Status::ConnectFailed;
-  o.reached |= !unreachable && r.status != Status::Moot;
-  if (r.status <= Status::Full || unreachable) m.note_reach(a.server, !unreachable);
+  o.reached |= !unreachable && r.status != Status::NotSent;
+  if (r.status <= Status::Overloaded || unreachable) m.note_reach(a.server, !unreachable);
   m.note_report(s, r.report);
   follow(m.errors, r.status == Status::Error);
-  follow(m.full, r.status == Status::Full);
-  follow(m.broken, r.status == Status::Stale || r.status == Status::Reset);
+  follow(m.full, r.status == Status::Overloaded);
+  follow(m.broken, r.status == Status::StaleConnection || r.status == Status::Reset);
   follow(m.unreachable, r.status == Status::ConnectFailed || r.status == Status::Reset);
   switch (r.status) {
     case Status::Ok:
@@ -1169,7 +1173,7 @@
       m.note_success(s);
       o.missed = true;
       break;
-    case Status::Full:  // overloaded, not dead
+    case Status::Overloaded:  // overloaded, not dead
       m.note_full(s);
       break;
     case Status::Timeout:
@@ -1185,12 +1189,14 @@
     case Status::ConnectFailed:
       m.note_failure(s, 1, m.unreachable);
       break;
-    case Status::Stale:  // tells of the connection: a server that is dead refuses the next one
+    case Status::StaleConnection:  // tells of the connection: a server that is dead refuses the
+                                   // next one
     case Status::Cancelled:
-    case Status::Moot:
+    case Status::NotSent:
       break;
   }
-  if (!o.closed && r.status == Status::Ok) m.note_end(o, true, m.now - o.came <= o.cls->rules.aim);
+  if (!o.closed && r.status == Status::Ok)
+    m.note_end(o, true, m.now - o.came <= o.cls->rules.latency_objective);
   if (r.finished) {
     if (!o.closed) m.cancel_rest(o);
     o.closed = true;
@@ -1201,7 +1207,7 @@
   return m.out;
 }
 
-const Actions& Balancer::on_gone(Micros now, RequestId id) {
+const Actions& Balancer::on_client_disconnect(Micros now, RequestId id) {
   Impl& m = *impl_;
   m.tick(now);
   auto it = m.open.find(id);
@@ -1220,7 +1226,7 @@
     if (id != m.ask_token || m.watching) return m.out;
     m.asking = true;
     m.out.push_back(Watch{});
-    m.ask(m.set.ask_within);  // asks again should no answer come at all
+    m.ask(m.set.list_refresh_interval);  // asks again should no answer come at all
     return m.out;
   }
   auto it = m.open.find(id);
@@ -1229,7 +1235,7 @@
   if (kind == kDeadlineTimer) {
     // Nor does the end of one that came with less time than its aim tell of load: a client's last
     // retries. They ended unserved on idle servers, shut the doors, and brought on more retries.
-    bool fault = o.deadline - o.came < o.cls->rules.aim;
+    bool fault = o.deadline - o.came < o.cls->rules.latency_objective;
     for (const Impl::Attempt& a : o.attempts) {
       if (a.ran != Impl::Ran::Out || !m.stalled(o, a)) continue;
       fault |= m.stands_out(m.servers[a.server], Impl::kStalls);
@@ -1264,7 +1270,7 @@
           impl_->counts[0].size() + impl_->counts[1].size(), impl_->index.size(), impl_->draws};
 }
 
-std::string Balancer::home(const std::string& key) const {
+std::string Balancer::preferred_server(const std::string& key) const {
   std::uint64_t seed = hash_name(key);
   int left = kMaxDraws;
   int i = impl_->next_live(seed, left);
--- a/src/protocol/command.hpp
+++ b/src/protocol/command.hpp
@@ -13,10 +13,11 @@
 
 namespace violetusher::protocol {
 
-constexpr std::size_t kMaxKey = 250;          ///< bytes, as memcached has it
-constexpr std::size_t kMaxOpaque = 64;        ///< bytes of a request's id
-constexpr std::size_t kMaxValue = 64u << 10;  ///< bytes of one value that is held whole
-constexpr std::size_t kMaxLong = 4u << 20;    ///< bytes of a value that is passed on as it comes
+constexpr std::size_t kMaxKeyBytes = 250;          ///< bytes, as memcached has it
+constexpr std::size_t kMaxOpaqueBytes = 64;        ///< bytes of a request's id
+constexpr std::size_t kMaxValueBytes = 64u << 10;  ///< bytes of one value that is held whole
+constexpr std::size_t kMaxStreamedValueBytes =
+    4u << 20;  ///< bytes of a value that is passed on as it comes
 
 /// The protocols that codecs exist for.
 enum class Wire : std::uint8_t { Meta };
@@ -24,7 +25,7 @@
 /// One request.
 struct Command {
   bool set = false;  ///< stores; else reads
-  std::string id;    ///< the client's own, at most kMaxOpaque bytes; the answer bears it
+  std::string id;    ///< the client's own, at most kMaxOpaqueBytes bytes; the answer bears it
   std::string key, type, tenant;
   std::string idempotency;           ///< key of a write whose repeats are dropped; empty = none
   std::string value;                 ///< of a set
@@ -64,13 +65,13 @@
   int note = 0;                ///< 1 hit, 2 miss, 3 miss while another fetch is out, 0 not told
   violetusher::Report report;  ///< in the order of the settings' fields, NaN where not told; empty
                                ///< where no field could be read
-  bool last = false;  ///< after such an answer the connection's framing is not to be trusted
+  bool close_after = false;  ///< after such an answer the connection's framing is not to be trusted
 
   /// As made anew, but for the memory of its texts, which is kept for the next one.
   void clear() {
     kind = Kind::Error;
     for (std::string* text : {&id, &receipt, &value}) text->clear();
-    length = 0, note = 0, last = false;
+    length = 0, note = 0, close_after = false;
     report.clear();
   }
 };
@@ -87,9 +88,9 @@
   Kind kind = Kind::Failed;
   std::string_view value;    ///< of Value
   std::string_view receipt;  ///< of Stored; may be empty
-  Micros come_back = 0;      ///< of Busy: when to try again at the earliest; 0 = not told
+  Micros retry_after = 0;    ///< of Busy: when to try again at the earliest; 0 = not told
 
-  explicit Reply(Kind of = Kind::Failed, Micros wait = 0) : kind(of), come_back(wait) {}
+  explicit Reply(Kind of = Kind::Failed, Micros wait = 0) : kind(of), retry_after(wait) {}
 };
 
 }  // namespace violetusher::protocol
--- a/src/protocol/meta.cpp
+++ b/src/protocol/meta.cpp
@@ -32,12 +32,12 @@
 
 /// Moves bytes up to and with the next '\n' from `in` behind `partial`. Gives the line without its
 /// end when it is whole; it lives in `in`'s memory or in `partial`, which the caller clears then.
-/// Sets `too_long` when no line end came within kMaxLine bytes.
+/// Sets `too_long` when no line end came within kMaxLineBytes bytes.
 std::optional<std::string_view> take_text_line(std::string_view& in, std::string& partial,
                                                bool& too_long) {
   std::size_t end = in.find('\n');
   std::size_t size = end == in.npos ? in.size() : end + 1;
-  if (partial.size() + size > kMaxLine) {
+  if (partial.size() + size > kMaxLineBytes) {
     too_long = true;
     return std::nullopt;
   }
@@ -110,7 +110,7 @@
       break;
     case Reply::Kind::Busy:
       out.append("SERVER_ERROR busy");
-      if (reply.come_back > 0) out.append(" ").append(figure((reply.come_back + 999) / 1000));
+      if (reply.retry_after > 0) out.append(" ").append(figure((reply.retry_after + 999) / 1000));
       break;
     case Reply::Kind::Failed:
       out.append("SERVER_ERROR failed");
@@ -131,10 +131,10 @@
   command.clear();
   command.set = verb == "ms";
   std::string_view key = next_word(rest);
-  if (key.empty() || key.size() > kMaxKey) return Got::Bad;
+  if (key.empty() || key.size() > kMaxKeyBytes) return Got::Bad;
   if (command.set) {
     auto length = number<std::size_t>(next_word(rest));
-    if (!length || *length > kMaxValue) return Got::Bad;
+    if (!length || *length > kMaxValueBytes) return Got::Bad;
     value_need_ = *length + 2;
   }
   std::string_view pairs;
@@ -151,7 +151,7 @@
     else
       return Got::Bad;  // one that is not of the protocol, or comes twice
   }
-  if (command.id.empty() || command.id.size() > kMaxOpaque || wants_value == command.set)
+  if (command.id.empty() || command.id.size() > kMaxOpaqueBytes || wants_value == command.set)
     return Got::Bad;
   std::string_view wait;
   std::array<std::string_view, kMaxPairs> names;
@@ -241,7 +241,7 @@
   if (verb == "VA") {
     answer.kind = Answer::Kind::Value;
     auto length = number<std::size_t>(next_word(rest));
-    if (!length || *length > kMaxLong) return false;
+    if (!length || *length > kMaxStreamedValueBytes) return false;
     answer.length = *length;
     need_ = *length + 2;
   } else if (verb == "HD") {
@@ -251,7 +251,7 @@
   } else if (verb == "SERVER_ERROR") {
     answer.kind = next_word(rest) == "busy" ? Answer::Kind::Busy : Answer::Kind::Error;
   } else if (verb == "CLIENT_ERROR" || verb == "ERROR") {
-    answer.last = true;
+    answer.close_after = true;
     flags = false;
   } else if (verb == "NS" || verb == "EX" || verb == "NF") {
     answer.kind = Answer::Kind::Error;
@@ -300,7 +300,7 @@
       std::string().swap(partial_);
       if (!good) return Got::Broken;
       if (answer.kind != Answer::Kind::Value) return Got::Answer;
-      if (answer.length > kMaxValue) {
+      if (answer.length > kMaxValueBytes) {
         pending_ = answer;
         need_ = answer.length;
         state_ = State::Long;
--- a/src/protocol/meta.hpp
+++ b/src/protocol/meta.hpp
@@ -11,7 +11,7 @@
 
 namespace violetusher::protocol {
 
-constexpr std::size_t kMaxLine = 2048;  ///< bytes of one line, its end included
+constexpr std::size_t kMaxLineBytes = 2048;  ///< bytes of one line, its end included
 
 /// The bytes of `command` for a cache server, `wait_ms` in the place of the client's, behind `out`.
 void append_command(std::string& out, const Command& command, std::int64_t wait_ms);
@@ -58,9 +58,9 @@
   enum class Got {
     Nothing,  ///< all of `in` is consumed, nothing is whole
     Answer,   ///< `answer` is whole, its value too
-    Begin,    ///< the head of `answer` is whole, whose value of over kMaxValue bytes is to come
-    Piece,    ///< more of that value: piece(); once all of it has come, the next one is Answer
-    Broken,   ///< no answer of the protocol; the connection is of no more use
+    Begin,   ///< the head of `answer` is whole, whose value of over kMaxValueBytes bytes is to come
+    Piece,   ///< more of that value: piece(); once all of it has come, the next one is Answer
+    Broken,  ///< no answer of the protocol; the connection is of no more use
   };
   Got take(std::string_view& in, Answer& answer);
   /// Of a long value, in the memory that take() was given.
--- a/src/protocol/settings.cpp
+++ b/src/protocol/settings.cpp
@@ -77,7 +77,7 @@
     std::string at = "Classes." + std::to_string(k) + ".";
     ClassSettings c;
     c.name = text(at + "Name");
-    c.aim = integer(at + "ObjectiveUs", 0);
+    c.latency_objective = integer(at + "ObjectiveUs", 0);
     c.deadline = integer(at + "DeadlineUs", 0);
     c.worth = number(at + "Worth", 1);
     c.late_worth = number(at + "LateWorth", 0);
@@ -97,40 +97,40 @@
     s.report_fields.push_back(look_up(kField, name).value_or(ReportField::Unknown));
   s.zone = text("Az");
   for (std::string_view zone : split(text("FailureDomains"), ',')) s.zones.emplace_back(zone);
-  s.aside = text("Domain.Mode") == "aside";
+  s.cache_aside = text("Domain.Mode") == "aside";
   auto kinds = split(text("MachineTypes"), ',');
   std::int64_t origin = integer("Domain.OriginKind", -1);
   if (origin >= 0 && origin < static_cast<std::int64_t>(kinds.size()))
     s.origin_kind = kinds[origin];
   s.routers = static_cast<int>(in_range(integer("Balancers", 1), 1, 10'000'000, "Balancers"));
-  s.must_ask = text("MembershipMode") == "subscribe";
+  s.list_on_demand = text("MembershipMode") == "subscribe";
   s.may_cancel = flag("Limits.MayCancel");
   s.may_probe = flag("Limits.MayProbe");
-  s.second_copies = flag("Limits.SecondCopies");
+  s.may_hedge = flag("Limits.SecondCopies");
   s.retry_after = flag("Limits.RetryAfter");
   s.worth_by_work = text("ValueBy") == "work";
   s.weights_listed = text("Weights") != "off" && !text("Weights").empty();
   s.max_attempts =
       static_cast<int>(in_range(integer("Limits.MaxAttempts", 1), 1, 1'000, "Limits.MaxAttempts"));
   s.max_retry_after = integer("Limits.MaxRetryAfterUs", 0);
-  s.tick = integer("TickUs", 1000);
+  s.timer_granularity = integer("TickUs", 1000);
   s.cross_zone_charge = number("Charges.CrossZone", 0);
   s.waste_charge = number("Charges.Waste", 0);
   s.late_fail_charge = number("Charges.LateFail", 0);
   s.over_share_worth = number("OverShareWorth", 1);
   s.answer_slack = integer("Rules.AnswerSlackUs", 0);
-  s.ask_within = integer("Rules.AskWithinUs", 10'000'000);
+  s.list_refresh_interval = integer("Rules.AskWithinUs", 10'000'000);
   s.drain_grace = integer("Rules.DrainGraceUs", 0);
-  s.cold_share = number("Rules.ColdShare", 0.3);
-  s.cold_time = integer("Rules.ColdUs", 0);
+  s.slow_start_min_fraction = number("Rules.ColdShare", 0.3);
+  s.slow_start_window = integer("Rules.ColdUs", 0);
   s.overload_factor = number("Rules.OverloadFactor", 3);
-  s.tip_after = integer("Rules.TipAfterUs", 1'500'000);
+  s.overload_window = integer("Rules.TipAfterUs", 1'500'000);
   return s;
 }
 
-LinkSettings link_settings_of(const SettingPairs& by_path) {
+ConnectionSettings connection_settings_of(const SettingPairs& by_path) {
   Reader read{by_path};
-  LinkSettings l;
+  ConnectionSettings l;
   auto positive = [&](const char* path, std::int64_t absent) {
     return in_range(read.integer(path, absent), 1, std::int64_t{1} << 50, path);
   };
