--- a/src/kit/standin/machine.hpp
+++ b/src/kit/standin/machine.hpp
@@ -1,5 +1,5 @@
-// How a price cache works through what it is sent: cores, a waiting room, warm-up, falling over, a
-// store of bounded memory. No I/O and no clock: times come in.
+// Model of a price cache's work: cores, a bounded queue, warm-up, collapse under overload and a
+// store of bounded memory. No I/O and no clock: callers pass the time.
 #pragma once
 
 #include <cstdint>
@@ -16,28 +16,28 @@
 
 namespace violetusher::standin {
 
-/// Work in order of arrival on a number of cores.
+/// A bounded first-in-first-out queue that is served by a number of cores.
 class Station {
  public:
   using Job = std::uint64_t;
   Station(int cores, int waiting) : cores_(cores), room_(waiting) {}
 
-  /// False where the waiting room is full. `work` is the time on a core of this station at pace 1.
+  /// False where the queue is full. `work` is the time it takes on one core at pace 1.
   bool offer(Micros now, Job job, Micros work);
-  /// Work that is never turned away (a handshake).
+  /// Queues work that is never rejected, such as accepting a connection.
   void impose(Micros now, Micros work) { push(now, kNobody, work); }
-  /// Drops a job that waits; false where it is at work or done.
+  /// Removes a queued job; false where it is running or done.
   bool drop(Job job);
-  /// How fast it works from now on; what is at work ends when it would have.
+  /// Sets the speed of jobs that start from now on; running jobs keep their end time.
   void set_pace(double pace) { pace_ = pace; }
-  /// The jobs that are done by `now`, in order; starts those that wait.
+  /// Removes and returns the jobs that are done by `now`, in order, and starts queued ones.
   std::vector<Job> take_done(Micros now);
-  /// When something next is done; nothing while idle.
+  /// When the next running job is done; nothing while idle.
   std::optional<Micros> next() const;
   int waiting() const { return static_cast<int>(queue_.size()); }
   int working() const { return static_cast<int>(busy_.size()); }
   int cores() const { return cores_; }
-  /// Core time spent by `now` since the start.
+  /// Core time used by `now` since the start, in microseconds.
   double spent(Micros now) const;
   void clear() {
     queue_.clear();
@@ -63,14 +63,14 @@
   std::vector<Working> busy_;
 };
 
-/// Values kept by key, the least recently used dropped first. Keys that a warm price cache held
-/// before the day are known by a draw on (server, key), so nothing has to be filled in.
+/// Least-recently-used store of value sizes by key. Whether a warm price cache held a key before
+/// the day is decided by a draw on (server, key), so that the store need not be filled in advance.
 class Store {
  public:
-  /// `held`: the part of all keys held from before; 0 for a cold one.
+  /// `held`: fraction of all keys that are stored from the start; 0 for a cold price cache.
   Store(std::uint64_t bytes, double held, kit::Draws draws, std::uint64_t server)
       : room_(bytes), held_(held), draws_(draws), server_(server) {}
-  /// True for a hit; a hit counts as a use.
+  /// True for a hit, which marks the key as most recently used.
   bool find(const std::string& key, std::uint64_t size);
   void keep(const std::string& key, std::uint64_t size);
   void drop(const std::string& key);
@@ -88,16 +88,17 @@
   std::uint64_t server_;
   std::list<Entry> entries_;  // most recently used first
   std::unordered_map<std::string, std::list<Entry>::iterator> by_key_;
-  std::unordered_set<std::string> touched_;  // the draw no longer tells: written or evicted since
+  std::unordered_set<std::string>
+      touched_;  // keys stored or removed since, for which the draw no longer decides
 };
 
-/// Tells when a cold price cache is pushed over: sent more than `multiple` times what it can do at
-/// that moment, in every tenth of a second for `after`.
+/// Detects when overload makes a cold price cache collapse: it was sent more than `multiple` times
+/// its current capacity in every tenth of a second for `after`.
 class TippingPoint {
  public:
   TippingPoint(double multiple, Micros after) : multiple_(multiple), after_(after) {}
-  /// `capacity`: core time that it can do a second now, as a number of yardstick cores. True when
-  /// it falls over.
+  /// Records `work`. `capacity`: current capacity in cores of speed 1. True when the price cache
+  /// collapses.
   bool sent(Micros now, Micros work, double capacity);
 
  private:
@@ -108,11 +109,11 @@
   double sum_ = 0;
 };
 
-/// Keyed writes remembered for a time by all price caches together.
+/// Idempotency keys of recent writes, shared by all price caches of a fleet.
 class Repeats {
  public:
   explicit Repeats(Micros window) : window_(window) {}
-  /// The receipt of the first run, where `key` has run within the window; else remembers this one.
+  /// The receipt of the first run where `key` ran within the window; otherwise stores `receipt`.
   std::optional<std::string> seen(Micros now, const std::string& key, const std::string& receipt);
   std::size_t size() const { return by_key_.size(); }
 
@@ -126,7 +127,7 @@
   std::deque<std::pair<Micros, std::string>> order_;
 };
 
-/// The part of its capacity that a price cache has at `age`.
+/// Fraction of its full capacity that a price cache has at `age`.
 double warmth(const FleetSpec& spec, Micros age);
 
 }  // namespace violetusher::standin
--- a/src/kit/standin/price_cache.hpp
+++ b/src/kit/standin/price_cache.hpp
@@ -1,5 +1,5 @@
-// One stand-in price cache on sockets: a listener for each router, its work and its answers, and
-// what goes wrong on the wire.
+// One stand-in price cache on sockets: a listener for each router, the processing of commands, and
+// the faults that are injected into its connections and answers.
 #pragma once
 
 #include <deque>
@@ -31,14 +31,14 @@
     return addresses_[static_cast<std::size_t>(router)].text();
   }
 
-  /// Starts the process: listens, cold where `born` is not 0.
+  /// Starts the process, which then listens. It is cold unless `born`, its start time, is 0.
   void start(Micros born);
-  /// The process dies: its connections are reset, new ones refused.
+  /// Stops the process as a crash does: resets its connections; new ones are refused.
   void die();
-  /// Takes a new id at the old address; call while it is dead.
+  /// Changes the id and keeps the address; only while the process is stopped.
   void rename(int server) { server_ = server; }
   void drain() { draining_ = true; }
-  /// Looks again at whether it is silent towards each router, and at its pace.
+  /// Updates from the active faults which routers it is silent towards, and its pace.
   void refresh();
   bool running() const { return running_; }
   Micros born() const { return born_; }
@@ -53,7 +53,7 @@
     net::EventPtr event;
     std::vector<net::Fd> plugs;
     bool silent = false;
-    Micros silent_from = 0, silent_until = 0;  // of the last time
+    Micros silent_from = 0, silent_until = 0;  // of the latest cut
     PriceCache* owner = nullptr;
     int router = 0;
   };
@@ -94,7 +94,7 @@
   bool running_ = false, draining_ = false, fallen_ = false, booking_ = true;
   Micros born_ = 0, due_ = 0;
   std::unordered_map<std::string, int> fetching_;
-  // The load report as it is told, and what the next one is made from.
+  // The load reports that wait for their lag, and the figures that the next one is made from.
   struct Load {
     Micros at = 0;
     double utilisation = 0, mean_ms = 0, hits = 0;
--- a/src/kit/standin/told.hpp
+++ b/src/kit/standin/told.hpp
@@ -1,6 +1,6 @@
-// When each change of discovery's list counts as told to each router, whether or not it arrived:
-// the oracle's own account of the terms of service (docs/design/membership.md). It knows what
-// discovery did and which calls came, and nothing of the routers.
+// Computes when each router must know of each change of the host list, whether or not the change
+// reached it: the oracle's own version of the rules in docs/design/membership.md. It knows what
+// discovery did and which calls arrived, and nothing about the state of the routers.
 #pragma once
 
 #include <utility>
@@ -11,27 +11,28 @@
 
 namespace violetusher::standin {
 
+/// Records the notification time of each change for each router in a History.
 class ToldAccount {
  public:
-  /// `pushed`: each router's discovery is an agent of its own. `ask_within`: as the settings have
-  /// it.
+  /// `pushed`: each router has its own discovery agent. `ask_within`: poll interval of the
+  /// settings.
   ToldAccount(kit::History& history, int routers, bool pushed, Micros ask_within);
 
-  /// The list has changed. Pushed: the agents have it.
+  /// The list has changed. If pushed, the agents have the change at once.
   void changed(int server, Health health, Micros now);
-  /// All that the router lacks of the list was written to it: `entries`.
+  /// All changes that the router did not have yet were written to it: `entries`.
   void written(int router, const std::vector<std::pair<int, Health>>& entries, Micros now);
-  /// A call of the router has come.
+  /// A call of the router has arrived.
   void asked(int router, Micros now);
-  /// A call was refused, or its watch broken in a way that the router can see.
+  /// A call was refused, or its watch ended in a way that the router can see.
   void failed(int router, Micros now);
-  /// The router has `watches` calls at discovery that wait and will be answered.
+  /// The router has `watches` open calls at discovery that will be answered.
   void watching(int router, int watches);
-  /// A watch has fallen silent, which may wait until `until` by its call.
+  /// A watch has become silent; by its own parameters it may wait until `until`.
   void silent(int router, Micros until, Micros now);
-  /// Discovery is there again after it was down.
+  /// Discovery is up again.
   void back(Micros now);
-  /// Writes down what has come to count as told. Call some times a second.
+  /// Records the notifications whose time has come. Call several times a second.
   void advance(Micros now);
 
  private:
@@ -42,8 +43,8 @@
   };
   struct Router {
     int watches = 0;
-    Micros silent_due = 0;  // what the silent watch missed counts from here; 0: none is silent
-    Micros hold = 0;        // without a watch, held until here to the list that it has
+    Micros silent_due = 0;  // deadline for changes that a silent watch missed; 0: none is silent
+    Micros hold = 0;        // without a watch, the router need not know of changes before this
     bool call_failed = false;
     std::vector<Change> untold;
   };
