--- a/src/kit/faults/preload.hpp
+++ b/src/kit/faults/preload.hpp
@@ -1,19 +1,20 @@
-// The fault library: loaded before the C library (LD_PRELOAD), it makes system calls of a process
-// fail as a script says. For tests and rehearsals alone; nothing links it.
+// The fault library: loaded with LD_PRELOAD, it wraps system calls of a process and injects faults
+// as a script specifies. It is for tests and rehearsals only; no program links it.
 #pragma once
 
 namespace violetusher::faults {
 
-/// Environment variable that names the script. The file is read again when it changes; one that
-/// can't be used at the start ends the process, a later one is reported and not used.
+/// Environment variable with the path of the script. The file is reloaded when it changes. An
+/// invalid script ends the process at startup; after a change it is reported and the old one stays
+/// in use.
 inline constexpr char kScriptVariable[] = "VIOLETUSHER_FAULTS";
-/// Names the file to which a line is appended for each fault: time, call, descriptor, outcome.
+/// Path of the log, to which each fault appends a line: time, call, descriptor, outcome, rule.
 inline constexpr char kLogVariable[] = "VIOLETUSHER_FAULTS_LOG";
-/// The origin of the script's times, in microseconds of CLOCK_MONOTONIC; the process's start where
-/// it is not set.
+/// Origin of the script's times, in microseconds of CLOCK_MONOTONIC. Defaults to the time at which
+/// the library is first used.
 inline constexpr char kOriginVariable[] = "VIOLETUSHER_FAULTS_ORIGIN";
 
-/// A process that is built with AddressSanitizer wants its runtime first; this lets it start.
+/// AddressSanitizer refuses to start unless its runtime is loaded first; this disables that check.
 inline constexpr char kSanitizerOptions[] = "ASAN_OPTIONS=verify_asan_link_order=0";
 
 }  // namespace violetusher::faults
--- a/src/kit/faults/script.hpp
+++ b/src/kit/faults/script.hpp
@@ -1,4 +1,4 @@
-// A fault script: which system calls of a process fail, how, and when. One rule a line:
+// A fault script specifies which system calls of a process fail, how, and when. One rule per line:
 //
 //     seed 7
 //     write,fdatasync path=.bans error=ENOSPC from=2s until=12s
@@ -7,8 +7,8 @@
 //     sendmsg delay=100ms times=5
 //     clock step=-1h from=3s
 //
-// Times count from the origin that the process is given, see preload.hpp. docs/operators/faults.md
-// has every key.
+// Times are relative to the origin that the process is given, see preload.hpp. All keys are
+// documented in docs/operators/faults.md.
 #pragma once
 
 #include <cstdint>
@@ -21,12 +21,12 @@
 
 using Micros = std::int64_t;
 
-/// A script that can't be used; what() is "FILE:LINE:COLUMN: what is wrong".
+/// An invalid script; what() is "FILE:LINE:COLUMN: description".
 struct ScriptError : std::runtime_error {
   using std::runtime_error::runtime_error;
 };
 
-/// The calls that rules may name, in the order of kCallNames.
+/// The calls that a rule can name, in the order of kCallNames.
 enum class Call : std::uint8_t {
   kOpen,
   kRead,
@@ -54,37 +54,41 @@
   kCount,
 };
 
+/// The name of the call in scripts.
 const char* name_of(Call call);
-/// The errno of a name such as "ENOSPC"; nothing where it is none that rules may name.
+/// The errno value of a name such as "ENOSPC"; empty if rules don't support it.
 std::optional<int> errno_of(const std::string& name);
-/// "ENOSPC"; the number where it has no name here.
+/// A name such as "ENOSPC", or the number in decimal if rules don't support it.
 std::string errno_name(int number);
 
+/// A line of a script: the calls it matches, when, and the faults it injects.
 struct Rule {
   std::vector<Call> calls;
-  std::string path;                ///< part of the file's name; empty: any descriptor
-  std::vector<int> errors;         ///< one of them is drawn
-  std::size_t short_count = 0;     ///< bytes that the call may transfer at most; 0: no bound
+  std::string path;                ///< substring of the file's path; empty: any descriptor
+  std::vector<int> errors;         ///< errno values, one of which is chosen at random
+  std::size_t short_count = 0;     ///< maximum bytes per call; 0: no limit
   Micros delay = 0;                ///< before the call
-  Micros step = 0;                 ///< of the wall clock
-  Micros from = 0, until = 0;      ///< until 0: for good
+  Micros step = 0;                 ///< added to the wall clock
+  Micros from = 0, until = 0;      ///< until 0: no end
   Micros every = 0, for_span = 0;  ///< within from and until, the first `for_span` of each `every`
   double chance = 1;
-  std::uint64_t skip = 0;   ///< so many calls first that it leaves alone
-  std::uint64_t times = 0;  ///< so many calls at most; 0: any number
+  std::uint64_t skip = 0;   ///< matching calls to leave alone first
+  std::uint64_t times = 0;  ///< maximum calls to apply to; 0: no limit
   int line = 0;
 
+  /// Whether the rule lists the call.
   bool names(Call call) const;
-  /// Whether the rule holds at `at`, counted from the origin.
+  /// Whether the rule is active at `at`, relative to the origin.
   bool holds_at(Micros at) const;
 };
 
+/// A parsed script. The seed determines the random choices of its rules.
 struct Script {
   std::uint64_t seed = 1;
   std::vector<Rule> rules;
 };
 
-/// Reads a script; `name` stands for the file in messages. Throws ScriptError.
+/// Parses a script; `name` is the file name in error messages. Throws ScriptError.
 Script parse_script(const std::string& text, const std::string& name);
 
 }  // namespace violetusher::faults
